--- a/src/ledgeladder/daemons/gateway/app.py
+++ b/src/ledgeladder/daemons/gateway/app.py
@@ -13,9 +13,9 @@
 from ...platform.exchange import read_caller_facts
 from ..plain_problems import write_problem
 from .checks import Permit, permit_request
-from .crashes import refuse_if_held
-from .notes import RequestNotes, log_fields
+from .crashes import refuse_quarantined
 from .plain import forward_plain
+from .request_trace import RequestTrace, log_fields
 from .stream import forward_stream
 from .waiting import is_starting, wait_for_turn
 
@@ -43,17 +43,17 @@
     async def handle(request: HttpRequest, exchange: Exchange) -> None:
         facts = read_caller_facts(request)
         permit: Permit | None = None
-        notes = RequestNotes()
+        trace = RequestTrace()
         outcome = CALLER_LEFT
         try:
             if is_starting(state, facts, anyio.current_time()):
-                notes.waited = await wait_for_turn(state, request, facts)
+                trace.wait_seconds = await wait_for_turn(state, request, facts)
             permit = permit_request(state, request, facts)
-            refuse_if_held(state, permit, request, notes)
-            await _forward(state, permit, request, exchange, notes)
+            refuse_quarantined(state, permit, request, trace)
+            await _forward(state, permit, request, exchange, trace)
             outcome = "answered"
             if not exchange.complete:
-                outcome = f"broken-off: {notes.given_up or 'its time was over'}"
+                outcome = f"broken-off: {trace.give_up_reason or 'its time was over'}"
         except ProblemError as error:
             outcome = f"{error.problem.code.name}: {error.problem.detail}"
             state.metrics.counters[f"code-{error.problem.code.name}"] += 1
@@ -61,7 +61,7 @@
         finally:
             if outcome == CALLER_LEFT and state.out_of_time:
                 outcome = STOPPED
-            _note_request(state, request, facts, permit, notes, outcome)
+            _note_request(state, request, facts, permit, trace, outcome)
 
     return HttpSite(handler=handle, write_problem=write_problem, limits=lambda: state.limits)
 
@@ -71,13 +71,13 @@
     permit: Permit,
     request: HttpRequest,
     exchange: Exchange,
-    notes: RequestNotes,
+    trace: RequestTrace,
 ) -> None:
     is_path = permit.pool.engine is not None and permit.route.kind is RequestKind.STREAM
     if is_path:
-        await forward_stream(state, permit, request, exchange, notes)
+        await forward_stream(state, permit, request, exchange, trace)
     else:
-        await forward_plain(state, permit, request, exchange, notes)
+        await forward_plain(state, permit, request, exchange, trace)
 
 
 def _note_request(
@@ -85,7 +85,7 @@
     request: HttpRequest,
     facts: CallerFacts,
     permit: Permit | None,
-    notes: RequestNotes,
+    trace: RequestTrace,
     outcome: str,
 ) -> None:
     state.metrics.counters["requests"] += 1
@@ -96,7 +96,7 @@
         "seconds": round(now - request.arrived_at, 4),
         "version": state.version,
         "version_age": _version_age(state, now),
-        **log_fields(notes),
+        **log_fields(trace),
     }
     if permit is not None:
         extra["route"] = permit.route.name
--- a/src/ledgeladder/daemons/gateway/asking.py
+++ b/src/ledgeladder/daemons/gateway/asking.py
@@ -11,7 +11,7 @@
 from ...routing.forwarding_table import is_resting
 from ...routing.rate_grants import is_limited
 from ..engine_call import fetch_report
-from .upstream_wishes import note_rest
+from .backpressure import record_backoff
 
 if TYPE_CHECKING:
     from ...routing.forwarding_table import ForwardedUpstream
@@ -62,7 +62,7 @@
             seconds=ASK_SECONDS,
         )
     except RestAskedError as error:
-        note_rest(state, engine, error.seconds)
+        record_backoff(state, engine, error.seconds)
         return
     except (AnswerBrokenError, ConnectError) as error:
         logger.debug(
--- a/src/ledgeladder/daemons/gateway/upstream_wishes.py
+++ b/src/ledgeladder/daemons/gateway/backpressure.py
@@ -22,7 +22,7 @@
 logger = logging.getLogger(__name__)
 
 
-def note_wishes(
+def handle_backpressure(
     state: GatewayState,
     permit: Permit,
     upstream: ForwardedUpstream,
@@ -64,10 +64,10 @@
         pool = state.table.pools.get(permit.pool.name, [])
         asking += [item for item in pool if item.registration.address == facts.culprit]
     for item in asking:
-        note_rest(state, item, facts.rest_seconds, request=permit.facts.attempt_id)
+        record_backoff(state, item, facts.rest_seconds, request=permit.facts.attempt_id)
 
 
-def note_rest(
+def record_backoff(
     state: GatewayState,
     upstream: ForwardedUpstream,
     seconds: float,
@@ -83,13 +83,13 @@
         request: Attempt that it refused; empty for a call of this box's own.
     """
     now = anyio.current_time()
-    held = held_requests(upstream, now, state.entries)
+    held = held_requests(upstream, now, state.entry_count)
     note_fullness(upstream.wishes, held, upstream.registration.slots, seconds, now)
     if not ask_rest(state.table.book, upstream.registration, upstream.wishes, seconds, now):
         return
     state.metrics.counters["upstream-asked-rest"] += 1
-    state.resting.upstreams[upstream.registration.instance] = upstream
-    state.resting.changed.set()
+    state.backoff_watch.upstreams[upstream.registration.instance] = upstream
+    state.backoff_watch.changed.set()
     logger.warning(
         "upstream asks for rest",
         extra={
@@ -103,15 +103,15 @@
     )
 
 
-def ask_for_grants(state: GatewayState, pool: str) -> None:
+def request_grants(state: GatewayState, pool: str) -> None:
     """Note that a request looks for an upstream of a pool, and ask for what limited ones lack."""
     if note_wanted(limits_in(state.table, pool), anyio.current_time()):
         limit_keeper_of(state).wake.set()
 
 
-async def watch_rests(state: GatewayState) -> None:
+async def log_backoff_ends(state: GatewayState) -> None:
     """Log when upstreams have rested for as long as they asked, for ever."""
-    resting = state.resting
+    resting = state.backoff_watch
     while True:
         now = anyio.current_time()
         for instance, upstream in list(resting.upstreams.items()):
--- a/src/ledgeladder/daemons/gateway/checks.py
+++ b/src/ledgeladder/daemons/gateway/checks.py
@@ -10,7 +10,7 @@
 
 from ...model import Problem, ProblemError, ResultCode
 from ...routing.route_index import choose_pool, find_route
-from .state import belief_holds
+from .state import check_freshness
 
 if TYPE_CHECKING:
     from ...http1 import HttpRequest
@@ -93,7 +93,7 @@
         raise refusal(ResultCode.STOPPING, "the box stops", STOPPING_RETRY_SECONDS)
     if configuration is None:
         raise _starting(state, "no document yet")
-    is_sure = belief_holds(state, anyio.current_time())
+    is_sure = check_freshness(state, anyio.current_time())
     if not state.confirmed:
         raise _starting(state, "document not confirmed")
     route = find_route(state.index, facts.host, facts.path)
--- a/src/ledgeladder/daemons/gateway/following.py
+++ b/src/ledgeladder/daemons/gateway/following.py
@@ -50,10 +50,10 @@
 from ...routing.route_index import build_index
 from ..limit_keeper import take_limit_message
 from ..peers import SILENCE_SECONDS, add_peers, primary_of
-from .borrowing import take_loan_reply
-from .crashes import take_quarantine, take_suspect
-from .loss_news import confirm_loss, take_loss_news
-from .state import limit_keeper_of, note_entries
+from .crashes import handle_quarantine_update, handle_suspect_update
+from .loss_updates import confirm_loss, handle_loss_update
+from .retry_quota import handle_quota_reply
+from .state import limit_keeper_of, record_entry_count
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -105,15 +105,15 @@
                 case RegistrationAges():
                     _take_ages(state, unpack_ages(order, message.order, message.ages))
                 case LossNews():
-                    engine = take_loss_news(state, message.instance)
+                    engine = handle_loss_update(state, message.instance)
                     if engine is not None:
                         tasks.start_soon(confirm_loss, state, engine)
                 case SuspectNews():
-                    take_suspect(state, message)
+                    handle_suspect_update(state, message)
                 case QuarantineNews():
-                    take_quarantine(state, message)
+                    handle_quarantine_update(state, message)
                 case LoanReply():
-                    take_loan_reply(state, message)
+                    handle_quota_reply(state, message)
                 case RateLimitNews() | GrantReply():
                     take_limit_message(limit_keeper_of(state), message)
                 case LoadTotals():
@@ -152,7 +152,7 @@
                 link.post(report)
                 _note_reported(state)
                 told, told_at = report, now
-        await anyio.sleep(load_interval(state.entries, len(peers.known)))
+        await anyio.sleep(load_interval(state.entry_count, len(peers.known)))
 
 
 def _load_report(state: GatewayState) -> LoadReport:
@@ -182,7 +182,7 @@
 
 def _take_reply(state: GatewayState, link: Link, reply: VersionReply) -> None:
     take_answer(state.freshness, reply.call, reply.version, reply.age)
-    note_entries(state, reply.entries, anyio.current_time())
+    record_entry_count(state, reply.entries, anyio.current_time())
     if reply.version > state.version:
         link.post(DocumentPull(version=state.version))
 
@@ -225,7 +225,7 @@
     for item in told:
         registration = item.registration
         instance = registration.instance
-        if instance in state.gone:
+        if instance in state.exited_instances:
             continue
         other = other_run(state.table, registration)
         if other is not None and registration.state is not UpstreamState.GONE:
@@ -261,9 +261,9 @@
 
 
 def _remember_gone(state: GatewayState, instance: str) -> None:
-    state.gone[instance] = None
-    while len(state.gone) > GONE_REMEMBERED:
-        del state.gone[next(iter(state.gone))]
+    state.exited_instances[instance] = None
+    while len(state.exited_instances) > GONE_REMEMBERED:
+        del state.exited_instances[next(iter(state.exited_instances))]
 
 
 def _take_ages(state: GatewayState, told: Iterable[tuple[str, float]]) -> None:
--- a/src/ledgeladder/daemons/gateway/loss_news.py
+++ b/src/ledgeladder/daemons/gateway/loss_updates.py
@@ -17,7 +17,7 @@
 logger = logging.getLogger(__name__)
 
 
-def take_loss_news(state: GatewayState, instance: str) -> ForwardedUpstream | None:
+def handle_loss_update(state: GatewayState, instance: str) -> ForwardedUpstream | None:
     """Send an engine nothing new that other boxes found dead.
 
     The word of others is enough for that, and no more: behind a cut they may be wrong for this box.
--- a/src/ledgeladder/daemons/gateway/main.py
+++ b/src/ledgeladder/daemons/gateway/main.py
@@ -18,11 +18,11 @@
 from ..signals import on_stop_signal
 from ..supervisor import Child, Restart, supervise
 from .app import build_caller_site
+from .backpressure import log_backoff_ends
 from .following import serve_control
 from .metrics import metrics_lines
 from .readiness import build_ready_site
-from .state import GatewayState, bounded_waits, limit_keeper_of
-from .upstream_wishes import watch_rests
+from .state import GatewayState, build_admission_queue, limit_keeper_of
 from .waiting import run_queue
 
 if TYPE_CHECKING:
@@ -59,8 +59,8 @@
     """Build the state of a gateway process, without a document."""
     state = GatewayState(
         settings=settings,
-        start_waits=bounded_waits(settings),
-        upstream_waits=bounded_waits(settings),
+        start_queue=build_admission_queue(settings),
+        upstream_queue=build_admission_queue(settings),
     )
     state.table.heartbeat = settings.bounds.heartbeat_ms / 1000.0
     own = settings.box.address
@@ -106,15 +106,15 @@
         ),
         Child(
             name="start-queue",
-            run=lambda: run_queue(state.start_waits),
+            run=lambda: run_queue(state.start_queue),
             restart=Restart.ALWAYS,
         ),
         Child(
             name="upstream-queue",
-            run=lambda: run_queue(state.upstream_waits),
+            run=lambda: run_queue(state.upstream_queue),
             restart=Restart.ALWAYS,
         ),
-        Child(name="rests", run=lambda: watch_rests(state), restart=Restart.ALWAYS),
+        Child(name="rests", run=lambda: log_backoff_ends(state), restart=Restart.ALWAYS),
         Child(
             name="limits", run=lambda: keep_limits(limit_keeper_of(state)), restart=Restart.ALWAYS
         ),
--- a/src/ledgeladder/daemons/gateway/metrics.py
+++ b/src/ledgeladder/daemons/gateway/metrics.py
@@ -24,7 +24,7 @@
         "upstreams_avoided": float(
             sum(item.avoid_until > now for item in state.table.upstreams.values())
         ),
-        "upstreams_resting": float(len(state.resting.upstreams)),
+        "upstreams_resting": float(len(state.backoff_watch.upstreams)),
     }
     return [
         *counter_lines(metrics.counters),
--- a/src/ledgeladder/daemons/gateway/plain.py
+++ b/src/ledgeladder/daemons/gateway/plain.py
@@ -27,12 +27,13 @@
 from ...routing.rate_grants import any_limited
 from ...routing.repeat_window import give_back, note_first
 from ...routing.service_choice import choose_service
-from .borrowing import spend_repeat
+from .backpressure import request_grants
 from .checks import Permit, refusal
-from .crashes import note_answered, note_run_end, suspicion
-from .notes import content_mark
+from .crashes import count_crashes, record_answered, record_crash
 from .probing import find_ended
-from .state import answer_pace, budget_of, record
+from .request_trace import content_fingerprint
+from .retry_quota import acquire_retry
+from .state import answer_pace, record_duration, retry_budget
 from .upstream_call import (
     FAILED_STATUS,
     AnswerLostError,
@@ -42,14 +43,13 @@
     open_answer,
     read_whole,
 )
-from .upstream_wishes import ask_for_grants
 from .waiting import wait_for_upstreams
 
 if TYPE_CHECKING:
     from ...http1 import Exchange, HttpRequest
     from ...routing.forwarding_table import ForwardedUpstream
     from ...routing.repeat_window import Repeat
-    from .notes import RequestNotes
+    from .request_trace import RequestTrace
     from .state import GatewayState
 
 logger = logging.getLogger(__name__)
@@ -96,7 +96,7 @@
     permit: Permit,
     request: HttpRequest,
     exchange: Exchange,
-    notes: RequestNotes,
+    trace: RequestTrace,
 ) -> None:
     """Forward a request and give the caller the final answer.
 
@@ -105,38 +105,38 @@
         permit: What the request may do.
         request: The request.
         exchange: The answering side.
-        notes: Takes what is learnt of the request.
+        trace: Takes what is learnt of the request.
 
     Raises:
         ProblemError: If no upstream answered it.
     """
     tries = _Tries()
-    budget = budget_of(state, permit.pool.name)
+    budget = retry_budget(state, permit.pool.name)
     note_first(budget, anyio.current_time())
     with anyio.move_on_after(max(0.0, permit.deadline - anyio.current_time())):
         while True:
             upstream = _next_upstream(state, permit, tries)
             if upstream is None:
-                if await _waited(state, permit, request, tries, notes):
+                if await _waited(state, permit, request, tries, trace):
                     continue
                 break
-            ends = suspicion(state, permit, request, notes)
+            ends = count_crashes(state, permit, request, trace)
             if ends >= CRASH_LIMIT:
                 break
             sent_before = tries.sent
             repeat = await _next_repeat(state, permit, tries)
             if sent_before and repeat is None:
                 break
-            notes.runs += 1
-            notes.path = [upstream.registration.instance]
-            if await _try_once(state, permit, request, tries, upstream, notes):
+            trace.attempts += 1
+            trace.path = [upstream.registration.instance]
+            if await _try_once(state, permit, request, tries, upstream, trace):
                 break
             if repeat is not None and tries.sent == sent_before:
                 give_back(budget, repeat)
     if tries.repeat is not None:
         give_back(budget, tries.repeat)
     if tries.answer is not None:
-        note_answered(state, permit, request, notes)
+        record_answered(state, permit, request, trace)
     await _finish(state, permit, request, exchange, tries)
 
 
@@ -145,7 +145,7 @@
     repeat, tries.repeat = tries.repeat, None
     if repeat is not None or not tries.sent:
         return repeat
-    return await spend_repeat(state, permit.pool.name)
+    return await acquire_retry(state, permit.pool.name)
 
 
 def _next_upstream(state: GatewayState, permit: Permit, tries: _Tries) -> ForwardedUpstream | None:
@@ -155,13 +155,13 @@
         return None
     if tries.refusals >= REFUSALS_LIMIT:
         return None
-    ask_for_grants(state, permit.pool.name)
+    request_grants(state, permit.pool.name)
     return choose_service(
         state.table.pools.get(permit.pool.name, []),
         anyio.current_time(),
         tried=tries.tried,
         failure_domain=state.settings.box.failure_domain,
-        sharers=state.entries,
+        sharers=state.entry_count,
         rng=state.rng,
     )
 
@@ -171,14 +171,14 @@
     permit: Permit,
     request: HttpRequest,
     tries: _Tries,
-    notes: RequestNotes,
+    trace: RequestTrace,
 ) -> bool:
     """Wait if upstreams want no work for a while that the request has; True if it is tried anew."""
     wait = _first_wait(state, permit)
     if tries.runs or tries.refusals >= REFUSALS_LIMIT or wait is None:
         return False
     until = request.arrived_at + permit.route.target_latency * WAIT_SHARE
-    if not await wait_for_upstreams(state, permit, request, notes, seconds=wait, until=until):
+    if not await wait_for_upstreams(state, permit, request, trace, seconds=wait, until=until):
         return False
     tries.tried.clear()
     return True
@@ -205,7 +205,7 @@
     request: HttpRequest,
     tries: _Tries,
     upstream: ForwardedUpstream,
-    notes: RequestNotes,
+    trace: RequestTrace,
 ) -> bool:
     """Send a request to one upstream; returns True if its answer is final.
 
@@ -251,7 +251,7 @@
         outcome = f"lost: {error}"
         note_failed(upstream, anyio.current_time())
         if await find_ended(state, upstream, set()):
-            note_run_end(state, permit, request, notes, [upstream], now)
+            record_crash(state, permit, request, trace, [upstream], now)
         return False
     except TimeoutError:
         outcome = f"no answer within {seconds:.2f} s"
@@ -267,7 +267,7 @@
                 "try failed",
                 extra={
                     "request": permit.facts.attempt_id,
-                    "content": content_mark(notes, request, permit).hex(),
+                    "content": content_fingerprint(trace, request, permit).hex(),
                     "upstream": instance,
                     "outcome": outcome,
                     "tries": tries.sent,
@@ -325,7 +325,7 @@
     await anyio.sleep(seconds)
     left = permit.deadline - anyio.current_time()
     if left > 0:
-        tries.repeat = await spend_repeat(state, permit.pool.name)
+        tries.repeat = await acquire_retry(state, permit.pool.name)
         if tries.repeat is None:
             await anyio.sleep(left)
     scope.cancel()
@@ -372,7 +372,7 @@
     """Tell whether any service of the pool is left out since it holds as much as it may."""
     now = anyio.current_time()
     pool = state.table.pools.get(permit.pool.name, [])
-    return any(takes_work(item, now) and is_at_most(item, now, state.entries) for item in pool)
+    return any(takes_work(item, now) and is_at_most(item, now, state.entry_count) for item in pool)
 
 
 async def _finish(
@@ -389,7 +389,7 @@
     """
     if tries.answer is not None:
         head = tries.answer.head
-        record(state.metrics.answer, anyio.current_time() - request.arrived_at)
+        record_duration(state.metrics.answer, anyio.current_time() - request.arrived_at)
         headers = caller_headers(head.headers.raw_items())
         await exchange.answer(head.status_code, headers, tries.body)
         return
--- a/src/ledgeladder/daemons/gateway/readiness.py
+++ b/src/ledgeladder/daemons/gateway/readiness.py
@@ -10,7 +10,7 @@
 from ...model import Problem, ResultCode
 from ...platform.control_calls import READY_PATH
 from ..plain_problems import write_problem
-from .state import belief_holds
+from .state import check_freshness
 
 if TYPE_CHECKING:
     from ...http1 import Exchange, HttpRequest
@@ -27,7 +27,7 @@
     """
     if state.stopping or state.configuration is None:
         return False
-    return belief_holds(state, anyio.current_time()) and bool(state.table.upstreams)
+    return check_freshness(state, anyio.current_time()) and bool(state.table.upstreams)
 
 
 def build_ready_site(state: GatewayState) -> HttpSite:
--- a/src/ledgeladder/daemons/gateway/notes.py
+++ b/src/ledgeladder/daemons/gateway/request_trace.py
@@ -13,7 +13,7 @@
     from .checks import Permit
 
 
-class RequestNotes(msgspec.Struct, kw_only=True):
+class RequestTrace(msgspec.Struct, kw_only=True):
     """Course of one request."""
 
     first_event: float | None = None
@@ -22,55 +22,55 @@
     longest_gap: float = 0.0
     """Longest pause between events that were passed on, in seconds."""
 
-    waited: float = 0.0
+    wait_seconds: float = 0.0
     """How long it waited for the box to be able to serve, in seconds."""
 
-    runs: int = 0
+    attempts: int = 0
     """Times it was sent to an upstream, refused ones included."""
 
     path: list[str] = msgspec.field(default_factory=list)
     """Upstreams of the newest run; engines with their layers."""
 
-    crossings: int | None = None
+    inter_domain_hops: int | None = None
     """Links between failure domains that the path of the newest run passes; None if it is none."""
 
-    given_up: str = ""
+    give_up_reason: str = ""
     """Why a stream was not sent once more; empty if it was whole, or if its time was over."""
 
-    mark: bytes | None = None
+    fingerprint: bytes | None = None
     """Mark of its content; None while nothing needed it."""
 
 
-def content_mark(notes: RequestNotes, request: HttpRequest, permit: Permit) -> bytes:
+def content_fingerprint(trace: RequestTrace, request: HttpRequest, permit: Permit) -> bytes:
     """Return the mark of a request's content, which is made once.
 
     Args:
-        notes: What is learnt of the request; keeps the mark.
+        trace: What is learnt of the request; keeps the mark.
         request: The request.
         permit: What it may do, with its client account or else its key.
     """
-    if notes.mark is None:
+    if trace.fingerprint is None:
         caller = permit.account or permit.facts.key or ""
-        notes.mark = mark_content(caller, request.method, request.target, request.body)
-    return notes.mark
+        trace.fingerprint = mark_content(caller, request.method, request.target, request.body)
+    return trace.fingerprint
 
 
-def log_fields(notes: RequestNotes) -> dict[str, Any]:
+def log_fields(trace: RequestTrace) -> dict[str, Any]:
     """Return the fields of a log line; those that do not apply are left out.
 
-    >>> log_fields(RequestNotes(runs=1, path=["i-1=0-80"]))
+    >>> log_fields(RequestTrace(attempts=1, path=["i-1=0-80"]))
     {'runs': 1, 'path': ['i-1=0-80']}
     """
-    fields: dict[str, Any] = {"runs": notes.runs}
-    if notes.mark is not None:
-        fields["content"] = notes.mark.hex()
-    if notes.waited:
-        fields["waited"] = round(notes.waited, 3)
-    if notes.path:
-        fields["path"] = notes.path
-    if notes.crossings is not None:
-        fields["crossings"] = notes.crossings
-    if notes.first_event is not None:
-        fields["first_event"] = round(notes.first_event, 3)
-        fields["longest_gap"] = round(notes.longest_gap, 3)
+    fields: dict[str, Any] = {"runs": trace.attempts}
+    if trace.fingerprint is not None:
+        fields["content"] = trace.fingerprint.hex()
+    if trace.wait_seconds:
+        fields["waited"] = round(trace.wait_seconds, 3)
+    if trace.path:
+        fields["path"] = trace.path
+    if trace.inter_domain_hops is not None:
+        fields["crossings"] = trace.inter_domain_hops
+    if trace.first_event is not None:
+        fields["first_event"] = round(trace.first_event, 3)
+        fields["longest_gap"] = round(trace.longest_gap, 3)
     return fields
--- a/src/ledgeladder/daemons/gateway/borrowing.py
+++ b/src/ledgeladder/daemons/gateway/retry_quota.py
@@ -10,7 +10,7 @@
 from ...links.messages import LoanRequest
 from ...routing.repeat_loans import LOAN_LIMIT, LOAN_SECONDS
 from ...routing.repeat_window import take_loan, take_repeat
-from .state import OpenLoan, budget_of
+from .state import PendingQuotaRequest, retry_budget
 
 if TYPE_CHECKING:
     from ...links.messages import LoanReply
@@ -19,15 +19,15 @@
 
 logger = logging.getLogger(__name__)
 
-BORROW_SECONDS: Final = 0.1
+QUOTA_WAIT_SECONDS: Final = 0.1
 """How long a request waits for a loan: some tens of round trips to another failure domain, and half
 of the pause that callers of a stream accept."""
 
-DENIED_SECONDS: Final = 0.5
+QUOTA_DENIED_SECONDS: Final = 0.5
 """How long nothing is asked for after nothing was lent."""
 
 
-async def spend_repeat(state: GatewayState, pool: str) -> Repeat | None:
+async def acquire_retry(state: GatewayState, pool: str) -> Repeat | None:
     """Spend one repeat of a pool, if need be one that is lent.
 
     Args:
@@ -37,56 +37,58 @@
     Returns:
         The repeat; None if the request must not be sent again.
     """
-    budget = budget_of(state, pool)
-    repeat = take_repeat(budget, anyio.current_time(), state.entries)
-    if repeat is None and await _borrow(state, pool):
-        repeat = take_repeat(budget, anyio.current_time(), state.entries)
+    budget = retry_budget(state, pool)
+    repeat = take_repeat(budget, anyio.current_time(), state.entry_count)
+    if repeat is None and await _request_quota(state, pool):
+        repeat = take_repeat(budget, anyio.current_time(), state.entry_count)
     if repeat is None:
         state.metrics.counters["repeat-refused"] += 1
     return repeat
 
 
-async def _borrow(state: GatewayState, pool: str) -> bool:
+async def _request_quota(state: GatewayState, pool: str) -> bool:
     """Ask for a loan together with others that need one; False if nobody lends any."""
-    loan = state.gathered_loans.get(pool)
+    loan = state.batched_quota_requests.get(pool)
     if loan is None:
         peers, now = state.peers, anyio.current_time()
-        if peers is None or now < state.denied_until.get(pool, now):
+        if peers is None or now < state.quota_denied_until.get(pool, now):
             return False
         lenders = [address for address in peers.ranked if address in peers.links]
-        loan = state.gathered_loans[pool] = OpenLoan(pool=pool, asked_at=now, lenders=lenders)
+        loan = state.batched_quota_requests[pool] = PendingQuotaRequest(
+            pool=pool, asked_at=now, lenders=lenders
+        )
         loan.wanted = 1
         try:
             # Streams that are cut together come here in one turn of the loop, and ask together.
             await anyio.sleep(0)
         finally:
             # Also if this one's caller has left: the others wait for the answer.
-            del state.gathered_loans[pool]
-            _forget_unanswered(state, now)
-            _ask_next(state, loan)
+            del state.batched_quota_requests[pool]
+            _drop_unanswered(state, now)
+            _request_next(state, loan)
     else:
         loan.wanted += 1
-    with anyio.move_on_after(loan.asked_at + BORROW_SECONDS - anyio.current_time()):
+    with anyio.move_on_after(loan.asked_at + QUOTA_WAIT_SECONDS - anyio.current_time()):
         await loan.done.wait()
     return loan.count > 0
 
 
-def _forget_unanswered(state: GatewayState, now: float) -> None:
+def _drop_unanswered(state: GatewayState, now: float) -> None:
     """Drop questions whose answer would come too late to be spent."""
-    for call, loan in list(state.open_loans.items()):
+    for call, loan in list(state.pending_quota_requests.items()):
         if now - loan.asked_at >= LOAN_SECONDS:
-            del state.open_loans[call]
+            del state.pending_quota_requests[call]
 
 
-def _ask_next(state: GatewayState, loan: OpenLoan) -> None:
+def _request_next(state: GatewayState, loan: PendingQuotaRequest) -> None:
     """Ask the next control box for what is lacking; end the question if there is none."""
     assert state.peers is not None
     while loan.lenders and loan.count < loan.wanted:
         link = state.peers.links.get(loan.lenders.pop(0))
         if link is not None:
-            loan.call = state.next_call
-            state.next_call += 1
-            state.open_loans[loan.call] = loan
+            loan.call = state.next_quota_call
+            state.next_quota_call += 1
+            state.pending_quota_requests[loan.call] = loan
             count = min(loan.wanted - loan.count, LOAN_LIMIT)
             link.post(LoanRequest(call=loan.call, pool=loan.pool, count=count))
             return
@@ -95,18 +97,18 @@
         "repeats borrowed", extra={"pool": loan.pool, "count": loan.count, "wanted": loan.wanted}
     )
     if loan.count == 0:
-        state.denied_until[loan.pool] = anyio.current_time() + DENIED_SECONDS
+        state.quota_denied_until[loan.pool] = anyio.current_time() + QUOTA_DENIED_SECONDS
     loan.done.set()
 
 
-def take_loan_reply(state: GatewayState, reply: LoanReply) -> None:
+def handle_quota_reply(state: GatewayState, reply: LoanReply) -> None:
     """Take in what a control box lends, and ask the next one for what is lacking.
 
     An answer that comes too late counts for nothing here; the lender counts it.
     """
-    loan = state.open_loans.pop(reply.call, None)
+    loan = state.pending_quota_requests.pop(reply.call, None)
     if loan is None:
         return
     loan.count += reply.count
-    take_loan(budget_of(state, loan.pool), reply.count, loan.asked_at + LOAN_SECONDS)
-    _ask_next(state, loan)
+    take_loan(retry_budget(state, loan.pool), reply.count, loan.asked_at + LOAN_SECONDS)
+    _request_next(state, loan)
--- a/src/ledgeladder/daemons/gateway/silence.py
+++ b/src/ledgeladder/daemons/gateway/silence.py
@@ -209,8 +209,8 @@
     """Avoid the links of a path that has stood still for long although all its engines answer."""
     if waited < session.patience.link:
         return
-    known = set(state.link_doubts.until)
-    links = doubt_links(state.link_doubts, path.domains, anyio.current_time())
+    known = set(state.suspected_links.until)
+    links = doubt_links(state.suspected_links, path.domains, anyio.current_time())
     if not known.issuperset(links):
         logger.warning(
             "links between failure domains avoided", extra={"links": links, "silent_for": waited}
--- a/src/ledgeladder/daemons/gateway/state.py
+++ b/src/ledgeladder/daemons/gateway/state.py
@@ -34,18 +34,18 @@
     from ...settings import GatewaySettings
     from ..peers import Peers
 
-BELIEF_SHARE: Final = 0.85
+FRESHNESS_SHARE: Final = 0.85
 """Part of the revocation bound for which a belief is used; the rest is room for the request's way
 here and on to the upstream."""
 
-ENTRIES_SECONDS: Final = 20.0
+ENTRY_COUNT_SECONDS: Final = 20.0
 """How long a number of entry boxes counts. A control box that is cut off, or that few have reached
 yet, tells too few for some seconds; one tells too many while boxes change whom they report to."""
 
-LOWEST_MICROSECONDS: Final = 100
+MIN_MICROSECONDS: Final = 100
 """Shortest duration that histograms tell from shorter ones."""
 
-HIGHEST_MICROSECONDS: Final = 60_000_000
+MAX_MICROSECONDS: Final = 60_000_000
 """Longest duration that histograms tell from longer ones."""
 
 SIGNIFICANT_DIGITS: Final = 2
@@ -53,7 +53,7 @@
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS)
+    return HdrHistogram(MIN_MICROSECONDS, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
 
 
 class GatewayMetrics(msgspec.Struct, kw_only=True):
@@ -72,13 +72,13 @@
     """Time between events of streams."""
 
 
-def record(histogram: HdrHistogram, seconds: float) -> None:
+def record_duration(histogram: HdrHistogram, seconds: float) -> None:
     """Record a duration in seconds, cut to the histogram's range; it holds microseconds."""
     value = int(seconds * 1e6)
-    histogram.record_value(min(max(value, LOWEST_MICROSECONDS), HIGHEST_MICROSECONDS))
+    histogram.record_value(min(max(value, MIN_MICROSECONDS), MAX_MICROSECONDS))
 
 
-class OpenLoan(msgspec.Struct, kw_only=True):
+class PendingQuotaRequest(msgspec.Struct, kw_only=True):
     """A question for repeats that is under way."""
 
     pool: str
@@ -103,7 +103,7 @@
     """Set once it is answered for good."""
 
 
-class Waits(msgspec.Struct, kw_only=True):
+class AdmissionQueue(msgspec.Struct, kw_only=True):
     """Requests that wait until they can be served."""
 
     queue: WaitQueue
@@ -128,7 +128,7 @@
     """When each pool was last looked at, on the monotonic clock, and whether it took requests."""
 
 
-class RestingUpstreams(msgspec.Struct, kw_only=True):
+class BackoffWatch(msgspec.Struct, kw_only=True):
     """Upstreams whose rest is yet to be logged as over."""
 
     upstreams: dict[str, ForwardedUpstream] = msgspec.field(default_factory=dict)
@@ -160,50 +160,50 @@
     """True once a document in force was confirmed as the newest. Until then nothing is served:
     a control box that has just started may have sent an old one."""
 
-    entries: int = 1
+    entry_count: int = 1
     """Entry boxes among which shared budgets are split: the most that control boxes told of within
-    `ENTRIES_SECONDS` before the newest answer."""
+    `ENTRY_COUNT_SECONDS` before the newest answer."""
 
-    entries_told: deque[tuple[float, int]] = msgspec.field(default_factory=deque)
+    entry_counts: deque[tuple[float, int]] = msgspec.field(default_factory=deque)
     """Those answers: when each came, on the monotonic clock, and how many it told of."""
 
     table: ForwardingTable = msgspec.field(default_factory=ForwardingTable)
     """Upstreams that registered."""
 
-    resting: RestingUpstreams = msgspec.field(default_factory=RestingUpstreams)
+    backoff_watch: BackoffWatch = msgspec.field(default_factory=BackoffWatch)
     """Upstreams that asked for rest."""
 
-    doubts: DomainDoubts = msgspec.field(default_factory=DomainDoubts)
+    suspected_domains: DomainDoubts = msgspec.field(default_factory=DomainDoubts)
     """Failure domains that may be cut off."""
 
-    link_doubts: LinkDoubts = msgspec.field(default_factory=LinkDoubts)
+    suspected_links: LinkDoubts = msgspec.field(default_factory=LinkDoubts)
     """Links between failure domains that are avoided."""
 
     link_load: LinkLoad = msgspec.field(default_factory=LinkLoad)
     """What this box sends over links between failure domains."""
 
-    gone: dict[str, None] = msgspec.field(default_factory=dict)
+    exited_instances: dict[str, None] = msgspec.field(default_factory=dict)
     """Ids of runs of upstreams that have ended, oldest first."""
 
     connections: ConnectionPool = msgspec.field(default_factory=ConnectionPool)
     """Idle connections to upstreams."""
 
-    repeats: dict[str, RepeatWindow] = msgspec.field(default_factory=dict)
+    retry_budgets: dict[str, RepeatWindow] = msgspec.field(default_factory=dict)
     """Budget of repeats by pool."""
 
-    gathered_loans: dict[str, OpenLoan] = msgspec.field(default_factory=dict)
+    batched_quota_requests: dict[str, PendingQuotaRequest] = msgspec.field(default_factory=dict)
     """Questions for repeats that are about to be sent, by pool."""
 
-    open_loans: dict[int, OpenLoan] = msgspec.field(default_factory=dict)
+    pending_quota_requests: dict[int, PendingQuotaRequest] = msgspec.field(default_factory=dict)
     """Those that were sent, by the number of their newest question."""
 
-    denied_until: dict[str, float] = msgspec.field(default_factory=dict)
+    quota_denied_until: dict[str, float] = msgspec.field(default_factory=dict)
     """Until when no more is asked for after nothing was lent, by pool, on the monotonic clock."""
 
-    next_call: int = 1
+    next_quota_call: int = 1
     """Number of the next question for repeats."""
 
-    contents: ContentWatch = msgspec.field(default_factory=ContentWatch)
+    quarantine: ContentWatch = msgspec.field(default_factory=ContentWatch)
     """Contents under which upstreams end."""
 
     answer_paces: dict[str, Pace] = msgspec.field(default_factory=dict)
@@ -224,10 +224,10 @@
     metrics: GatewayMetrics = msgspec.field(default_factory=GatewayMetrics)
     """Counters and histograms."""
 
-    start_waits: Waits
+    start_queue: AdmissionQueue
     """Requests that wait until the box can serve."""
 
-    upstream_waits: Waits
+    upstream_queue: AdmissionQueue
     """Requests that wait until upstreams want work again."""
 
     peers: Peers | None = None
@@ -269,16 +269,16 @@
     return state.limit_keeper
 
 
-def bounded_waits(settings: GatewaySettings) -> Waits:
+def build_admission_queue(settings: GatewaySettings) -> AdmissionQueue:
     """Return a bounded place for requests that wait."""
     section = settings.gateway
     queue = WaitQueue(
         most_requests=section.wait_queue_requests, most_bytes=section.wait_queue_bytes
     )
-    return Waits(queue=queue)
+    return AdmissionQueue(queue=queue)
 
 
-def belief_holds(state: GatewayState, now: float) -> bool:
+def check_freshness(state: GatewayState, now: float) -> bool:
     """Tell whether keys and routes may be judged by the document in force.
 
     Also sets `confirmed` the first time that they may: whoever reads that asks here before.
@@ -290,7 +290,7 @@
     if state.configuration is None:
         return False
     bounds = state.settings.bounds
-    seconds = bounds.revocation_ms / 1000.0 * BELIEF_SHARE
+    seconds = bounds.revocation_ms / 1000.0 * FRESHNESS_SHARE
     if not bounds.strict_revocation and state.confirmed:
         seconds = float("inf")
     holds = is_fresh(state.freshness, state.version, now, seconds)
@@ -298,12 +298,12 @@
     return holds
 
 
-def note_entries(state: GatewayState, count: int, now: float) -> None:
+def record_entry_count(state: GatewayState, count: int, now: float) -> None:
     """Take in how many entry boxes a control box knows of."""
-    state.entries_told.append((now, count))
-    while now - state.entries_told[0][0] > ENTRIES_SECONDS:
-        state.entries_told.popleft()
-    state.entries = max(told for _at, told in state.entries_told)
+    state.entry_counts.append((now, count))
+    while now - state.entry_counts[0][0] > ENTRY_COUNT_SECONDS:
+        state.entry_counts.popleft()
+    state.entry_count = max(told for _at, told in state.entry_counts)
 
 
 def answer_pace(state: GatewayState, pool: str) -> Pace:
@@ -311,9 +311,9 @@
     return state.answer_paces.setdefault(pool, Pace(floor=0.0))
 
 
-def budget_of(state: GatewayState, pool: str) -> RepeatWindow:
+def retry_budget(state: GatewayState, pool: str) -> RepeatWindow:
     """Return the budget of repeats of a pool."""
-    window = state.repeats.get(pool)
+    window = state.retry_budgets.get(pool)
     if window is None:
         bounds = state.settings.bounds
         window = RepeatWindow(
@@ -321,5 +321,5 @@
             reserve=bounds.repeat_reserve,
             seconds=bounds.repeat_window_seconds,
         )
-        state.repeats[pool] = window
+        state.retry_budgets[pool] = window
     return window
--- a/src/ledgeladder/daemons/gateway/stream.py
+++ b/src/ledgeladder/daemons/gateway/stream.py
@@ -13,12 +13,12 @@
 from ...routing.pace import note_gap
 from ...routing.repeat_window import give_back, note_first
 from ...routing.stream_patience import stream_patience
-from .borrowing import spend_repeat
 from .checks import Permit, refusal
 from .come_back import when_there_is_a_path, when_there_is_room
-from .crashes import note_answered, suspicion
+from .crashes import count_crashes, record_answered
 from .probing import probe_seconds
-from .state import budget_of
+from .retry_quota import acquire_retry
+from .state import retry_budget
 from .stream_paths import choose_run_path, expected_answer, explain_missing_path
 from .stream_run import run_stream
 from .stream_session import RunEnd, StreamSession
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from ...http1 import Exchange, HttpRequest
-    from .notes import RequestNotes
+    from .request_trace import RequestTrace
     from .state import GatewayState
 
 REFUSALS_LIMIT: Final = 4
@@ -38,7 +38,7 @@
     permit: Permit,
     request: HttpRequest,
     exchange: Exchange,
-    notes: RequestNotes,
+    trace: RequestTrace,
 ) -> None:
     """Forward a stream until it is complete or is given up.
 
@@ -47,7 +47,7 @@
         permit: What the request may do.
         request: The request.
         exchange: The answering side.
-        notes: Takes what is learnt of the request.
+        trace: Takes what is learnt of the request.
 
     Raises:
         ProblemError: If it is given up before the caller has a head.
@@ -65,35 +65,35 @@
         ),
         tokens=permit.facts.prompt_tokens + expected,
         moved_at=request.arrived_at,
-        notes=notes,
+        trace=trace,
     )
-    budget = budget_of(state, permit.pool.name)
+    budget = retry_budget(state, permit.pool.name)
     note_first(budget, anyio.current_time())
     with anyio.move_on_after(max(0.0, permit.deadline - anyio.current_time())) as scope:
         while not (reason := _why_no_further_run(permit, session)):
-            ends = suspicion(state, permit, request, notes)
+            ends = count_crashes(state, permit, request, trace)
             if ends >= CRASH_LIMIT:
                 reason = f"{ends} upstreams ended under it"
                 break
             path = choose_run_path(state, permit, profile, session, expected)
             if path is None:
                 session.missing = explain_missing_path(state, permit, profile, session, expected)
-                if await _waited(state, permit, request, session, notes):
+                if await _waited(state, permit, request, session, trace):
                     continue
                 reason = str(session.missing)
                 break
-            repeat = await spend_repeat(state, permit.pool.name) if session.sent else None
+            repeat = await acquire_retry(state, permit.pool.name) if session.sent else None
             if session.sent and repeat is None:
                 reason = "budget of repeats is spent"
                 break
             end = await run_stream(state, permit, request, exchange, session, path)
             if end is RunEnd.COMPLETE:
-                note_answered(state, permit, request, notes)
+                record_answered(state, permit, request, trace)
                 note_gap(state.stream_pace, anyio.current_time() - request.arrived_at)
                 return
             if repeat is not None and end is RunEnd.NOT_SENT:
                 give_back(budget, repeat)
-        notes.given_up = reason
+        trace.give_up_reason = reason
     await _finish(state, permit, exchange, session, late=scope.cancelled_caught)
 
 
@@ -102,7 +102,7 @@
     permit: Permit,
     request: HttpRequest,
     session: StreamSession,
-    notes: RequestNotes,
+    trace: RequestTrace,
 ) -> bool:
     """Wait if engines want no work for a while that the request has; True if it is tried anew.
 
@@ -114,7 +114,7 @@
         return False
     patience = session.patience
     until = session.moved_at + (patience.gap_look if session.started else patience.first_look)
-    return await wait_for_upstreams(state, permit, request, notes, seconds=wait, until=until)
+    return await wait_for_upstreams(state, permit, request, trace, seconds=wait, until=until)
 
 
 def _why_no_further_run(permit: Permit, session: StreamSession) -> str:
@@ -157,11 +157,11 @@
         if missing is not None and missing.wait_seconds is not None:
             is_limited = missing.for_limits
             code = ResultCode.UPSTREAMS_LIMITED if is_limited else ResultCode.UPSTREAMS_RESTING
-            raise refusal(code, session.notes.given_up, missing.wait_seconds)
+            raise refusal(code, session.trace.give_up_reason, missing.wait_seconds)
         if session.refusals:
-            detail = f"{session.refusals} paths refused; {session.notes.given_up}"
+            detail = f"{session.refusals} paths refused; {session.trace.give_up_reason}"
             raise refusal(ResultCode.UPSTREAM_REFUSED, detail, when_there_is_room(state))
-        detail = f"no path over {permit.pool.name}; {session.notes.given_up}"
+        detail = f"no path over {permit.pool.name}; {session.trace.give_up_reason}"
         raise refusal(
             ResultCode.NO_ROUTE, detail, when_there_is_a_path(state, permit, session.missing)
         )
--- a/src/ledgeladder/daemons/gateway/stream_events.py
+++ b/src/ledgeladder/daemons/gateway/stream_events.py
@@ -10,7 +10,7 @@
 from ...routing.event_stream import EventBuffer, take_events
 from ...routing.pace import note_gap
 from .silence import read_watched
-from .state import record
+from .state import record_duration
 from .stream_session import RunEnd
 from .upstream_call import AnswerLostError
 
@@ -89,12 +89,12 @@
         engine.proven_at = now
     gap = now - session.moved_at
     if not session.started:
-        record(state.metrics.first_event, gap)
-        session.notes.first_event = gap
+        record_duration(state.metrics.first_event, gap)
+        session.trace.first_event = gap
         note_gap(state.first_pace, now - started_at)
     else:
-        record(state.metrics.gap, gap)
-        session.notes.longest_gap = max(session.notes.longest_gap, gap)
+        record_duration(state.metrics.gap, gap)
+        session.trace.longest_gap = max(session.trace.longest_gap, gap)
         note_gap(session.pace, gap)
     session.moved_at = now
 
--- a/src/ledgeladder/daemons/gateway/stream_paths.py
+++ b/src/ledgeladder/daemons/gateway/stream_paths.py
@@ -13,7 +13,7 @@
 from ...routing.link_load import FIRST_LIMIT, RESUME_LIMIT, link_use
 from ...routing.path_costs import OVERFULL_AT, PathRequest
 from ...routing.paths import ChosenPath, MissingPath, choose_path, explain_no_path
-from .upstream_wishes import ask_for_grants
+from .backpressure import request_grants
 
 if TYPE_CHECKING:
     from ...model.traffic import EngineProfile
@@ -55,7 +55,7 @@
     Returns:
         The path, or None if no engines that may be used cover all layers.
     """
-    ask_for_grants(state, permit.pool.name)
+    request_grants(state, permit.pool.name)
     wanted = _wanted(state, permit, session, expected)
     engines = state.table.pools.get(permit.pool.name, [])
     now = anyio.current_time()
@@ -85,12 +85,12 @@
         prompt_tokens=permit.facts.prompt_tokens,
         answer_tokens=expected,
         failure_domain=state.settings.box.failure_domain,
-        link_penalties=link_penalties(state.link_doubts, now),
-        link_use=link_use(state.link_load, state.entries, now),
+        link_penalties=link_penalties(state.suspected_links, now),
+        link_use=link_use(state.link_load, state.entry_count, now),
         passed=session.passed,
         stalled_after=session.patience.gap_look if session.dead else math.inf,
         link_limit=RESUME_LIMIT if session.started else FIRST_LIMIT,
-        sharers=max(1.0, state.entries / _domain_count(state, permit)),
+        sharers=max(1.0, state.entry_count / _domain_count(state, permit)),
     )
 
 
@@ -118,7 +118,7 @@
     domain = engine.registration.failure_domain
     if domain == state.settings.box.failure_domain:
         return False
-    return domain in session.failed_domains or is_doubtful(state.doubts, domain, now)
+    return domain in session.failed_domains or is_doubtful(state.suspected_domains, domain, now)
 
 
 def _domain_count(state: GatewayState, permit: Permit) -> int:
--- a/src/ledgeladder/daemons/gateway/stream_run.py
+++ b/src/ledgeladder/daemons/gateway/stream_run.py
@@ -20,9 +20,9 @@
 )
 from ...routing.link_load import note_crossings
 from ...routing.paths import ChosenPath, release, reserve
-from .crashes import note_run_end
-from .notes import content_mark
+from .crashes import record_crash
 from .probing import find_ended, find_lost, report_lost
+from .request_trace import content_fingerprint
 from .silence import open_watched
 from .stream_events import pass_events
 from .stream_session import RunEnd, StreamSession
@@ -69,8 +69,8 @@
     session.sent += 1
     session.runs += 1
     session.interrupted = False
-    session.notes.runs += 1
-    session.notes.path = _describe(path)
+    session.trace.attempts += 1
+    session.trace.path = _describe(path)
     session.passed.update(part.instance for part in path.parts)
     started_at = anyio.current_time()
     reserve(path, session.tokens)
@@ -86,7 +86,7 @@
         release(path, session.tokens)
         if end is RunEnd.LOST:
             reached = _reached(path, started_at)
-            note_run_end(state, permit, request, session.notes, reached, started_at)
+            record_crash(state, permit, request, session.trace, reached, started_at)
         _note_end(state, permit, request, session, path, end, detail)
     return end
 
@@ -109,7 +109,7 @@
     profile, tokens = permit.pool.engine, permit.facts.prompt_tokens
     now = anyio.current_time()
     links = note_crossings(state.link_load, profile, path.domains, tokens, now)
-    session.notes.crossings = len(links)
+    session.trace.inter_domain_hops = len(links)
 
 
 @contextmanager
@@ -167,7 +167,7 @@
         "run ended early",
         extra={
             "request": permit.facts.attempt_id,
-            "content": content_mark(session.notes, request, permit).hex(),
+            "content": content_fingerprint(session.trace, request, permit).hex(),
             "end": end.value,
             "detail": detail,
             "path": _describe(path),
@@ -287,7 +287,7 @@
     domain = engine.registration.failure_domain
     if domain != state.settings.box.failure_domain:
         session.failed_domains.add(domain)
-        doubt_domain(state.doubts, engine, anyio.current_time())
+        doubt_domain(state.suspected_domains, engine, anyio.current_time())
 
 
 async def _blame(state: GatewayState, session: StreamSession, path: ChosenPath) -> None:
--- a/src/ledgeladder/daemons/gateway/stream_session.py
+++ b/src/ledgeladder/daemons/gateway/stream_session.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ...routing.pace import Pace
-from .notes import RequestNotes
+from .request_trace import RequestTrace
 
 if TYPE_CHECKING:
     from ...routing.event_stream import EventOrder
@@ -69,7 +69,7 @@
     refusals: int = 0
     """Times that a path refused it."""
 
-    notes: RequestNotes = msgspec.field(default_factory=RequestNotes)
+    trace: RequestTrace = msgspec.field(default_factory=RequestTrace)
     """Takes what is learnt, for the log line at the end."""
 
     started: bool = False
--- a/src/ledgeladder/daemons/gateway/upstream_call.py
+++ b/src/ledgeladder/daemons/gateway/upstream_call.py
@@ -19,7 +19,7 @@
 from ...platform.exchange import dispatch_headers, read_answer_facts
 from ...routing.forwarding_table import is_resting, note_load, takes_work
 from ...routing.rate_grants import take_grants
-from .upstream_wishes import note_wishes
+from .backpressure import handle_backpressure
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -125,7 +125,7 @@
         head = await read_head(connection)
         facts = read_answer_facts(head.status_code, head.headers)
         note_load(upstream, facts.load, anyio.current_time())
-        note_wishes(state, permit, upstream, facts, sent_at)
+        handle_backpressure(state, permit, upstream, facts, sent_at)
         if not facts.wrong_upstream and facts.attempt_id != permit.facts.attempt_id:
             raise AnswerBrokenError("the answer belongs to another request")
     except AnswerBrokenError as error:
--- a/src/ledgeladder/daemons/gateway/waiting.py
+++ b/src/ledgeladder/daemons/gateway/waiting.py
@@ -13,9 +13,9 @@
 from ...routing.pace import note_gap
 from ...routing.route_index import find_route
 from ...routing.wait_queue import enter, leave, next_to_go, reading_seconds, wait_until
+from .backpressure import request_grants
 from .checks import LAST_RANK, START_SECONDS, rank_request
-from .state import answer_pace, belief_holds
-from .upstream_wishes import ask_for_grants
+from .state import answer_pace, check_freshness
 
 if TYPE_CHECKING:
     from ...http1 import HttpRequest
@@ -24,8 +24,8 @@
     from ...routing.forwarding_table import ForwardedUpstream
     from ...routing.wait_queue import WaitingRequest
     from .checks import Permit
-    from .notes import RequestNotes
-    from .state import GatewayState, Waits
+    from .request_trace import RequestTrace
+    from .state import AdmissionQueue, GatewayState
 
 LOOK_SECONDS: Final = 0.01
 """How often a box with waiting requests looks whether it can serve: a fiftieth of the time in which
@@ -44,7 +44,7 @@
     """
     if state.refusing or now >= state.started_at + START_SECONDS:
         return False
-    return bool(state.start_waits.queue.waiting) or _rank(state, facts, now) is None
+    return bool(state.start_queue.queue.waiting) or _rank(state, facts, now) is None
 
 
 def _rank(state: GatewayState, facts: CallerFacts, now: float) -> int | None:
@@ -54,7 +54,7 @@
     """
     if state.refusing:
         return LAST_RANK
-    if state.configuration is None or not belief_holds(state, now):
+    if state.configuration is None or not check_freshness(state, now):
         return None
     route = find_route(state.index, facts.host, facts.path)
     if route is None:
@@ -95,7 +95,7 @@
         How long it waited, in seconds; 0 if it could not wait.
     """
     now = anyio.current_time()
-    waits = state.start_waits
+    waits = state.start_queue
     until = wait_until(
         arrived_at=request.arrived_at,
         patience=facts.patience,
@@ -130,7 +130,7 @@
     state: GatewayState,
     permit: Permit,
     request: HttpRequest,
-    notes: RequestNotes,
+    trace: RequestTrace,
     *,
     seconds: float,
     until: float,
@@ -144,7 +144,7 @@
         state: The process's state.
         permit: What the request may do.
         request: The request.
-        notes: Takes how long it waited for its turn.
+        trace: Takes how long it waited for its turn.
         seconds: When that is likely to be, from now on.
         until: Until when it may wait, on the monotonic clock.
 
@@ -152,7 +152,7 @@
         True if its turn has come; whoever calls chooses an upstream then. False if it is to be
         refused.
     """
-    now, waits = anyio.current_time(), state.upstream_waits
+    now, waits = anyio.current_time(), state.upstream_queue
     if now + seconds + len(waits.queue.waiting) * waits.turn_pace.mean > until:
         return False
     look_at = now + min(seconds, LOOK_AGAIN_SECONDS)
@@ -175,7 +175,7 @@
         return False
     has_turn = await _wait_for_turn(waits, entered, until - now)
     if has_turn:
-        notes.waited += anyio.current_time() - now
+        trace.wait_seconds += anyio.current_time() - now
     state.metrics.counters["upstream-queue-served" if has_turn else "upstream-queue-late"] += 1
     return has_turn
 
@@ -185,20 +185,20 @@
 
     All that wait for a pool look at the same time, so that what was found is kept for a moment.
     """
-    looked = state.upstream_waits.looked
+    looked = state.upstream_queue.looked
     at, found = looked.get(pool.name, (float("-inf"), False))
     if now - at < LOOK_SECONDS / 2:
         return found
     known = state.table.pools.get(pool.name, [])
     if pool.engine is None:
         found = any(
-            takes_work(item, now) and not is_at_most(item, now, state.entries) for item in known
+            takes_work(item, now) and not is_at_most(item, now, state.entry_count) for item in known
         )
     else:
         found = covers_layers((item for item in known if is_usable(item, now)), pool.engine.layers)
     if not found:
         # Also who waits needs requests that are lent.
-        ask_for_grants(state, pool.name)
+        request_grants(state, pool.name)
     looked[pool.name] = (now, found)
     return found
 
@@ -215,10 +215,10 @@
     now = anyio.current_time()
     wanting = [item for item in state.table.pools.get(pool.name, []) if takes_work(item, now)]
     slots = sum(item.registration.slots for item in wanting)
-    return answer_pace(state, pool.name).mean * state.entries / max(1, slots)
+    return answer_pace(state, pool.name).mean * state.entry_count / max(1, slots)
 
 
-async def _wait_for_turn(waits: Waits, entered: WaitingRequest, seconds: float) -> bool:
+async def _wait_for_turn(waits: AdmissionQueue, entered: WaitingRequest, seconds: float) -> bool:
     """Wait until a request may go on; False if the time is over first."""
     turn = waits.turns[entered.ticket] = anyio.Event()
     if len(waits.queue.waiting) == 1:
@@ -233,7 +233,7 @@
     return turn.is_set()
 
 
-async def run_queue(waits: Waits) -> None:
+async def run_queue(waits: AdmissionQueue) -> None:
     """Let waiting requests go on, one after the other, once they can be served, for ever."""
     while True:
         if not waits.queue.waiting:
@@ -243,7 +243,7 @@
             await anyio.sleep(_let_next_go(waits))
 
 
-def _let_next_go(waits: Waits) -> float:
+def _let_next_go(waits: AdmissionQueue) -> float:
     """Let the next request go on, if any can be served.
 
     Returns:
--- a/tests/daemons/gateway/builders.py
+++ b/tests/daemons/gateway/builders.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ledgeladder.daemons.gateway.state import GatewayState, bounded_waits
+from ledgeladder.daemons.gateway.state import GatewayState, build_admission_queue
 from ledgeladder.model.registration import Registration
 from ledgeladder.routing.forwarding_table import ForwardedUpstream
 from ledgeladder.routing.paths import ChosenPath
@@ -30,7 +30,9 @@
 def gateway_state() -> GatewayState:
     held = settings()
     return GatewayState(
-        settings=held, start_waits=bounded_waits(held), upstream_waits=bounded_waits(held)
+        settings=held,
+        start_queue=build_admission_queue(held),
+        upstream_queue=build_admission_queue(held),
     )
 
 
--- a/tests/daemons/gateway/test_upstream_wishes.py
+++ b/tests/daemons/gateway/test_backpressure.py
@@ -9,9 +9,13 @@
 import pytest
 
 from ledgeladder.daemons.gateway import upstream_call
+from ledgeladder.daemons.gateway.backpressure import (
+    handle_backpressure,
+    log_backoff_ends,
+    record_backoff,
+)
 from ledgeladder.daemons.gateway.state import GatewayState
 from ledgeladder.daemons.gateway.upstream_call import WithheldError, open_answer
-from ledgeladder.daemons.gateway.upstream_wishes import note_rest, note_wishes, watch_rests
 from ledgeladder.model.exchange import AnswerFacts
 from ledgeladder.platform.exchange import read_answer_facts
 from ledgeladder.routing.forwarding_table import ForwardedUpstream, is_resting
@@ -40,7 +44,7 @@
 
     async def play() -> list[tuple[bool, bool]]:
         state, head, later = two_upstreams()
-        note_wishes(state, PERMIT, head, facts(status, **fields), 0.0)
+        handle_backpressure(state, PERMIT, head, facts(status, **fields), 0.0)
         now = anyio.current_time()
         return [(is_resting(item, now), item.leaving) for item in (head, later)]
 
@@ -90,7 +94,7 @@
 
         async def connect_late(*_args: Any, **_options: Any) -> Connection:
             said = {"retry_after": "3"} if wish == "rest" else {"server_leaving": "1"}
-            note_wishes(state, PERMIT, head, facts(503, **said), 0.0)
+            handle_backpressure(state, PERMIT, head, facts(503, **said), 0.0)
             return Connection()
 
         monkeypatch.setattr(upstream_call, "_connection", connect_late)
@@ -110,11 +114,11 @@
     async def play() -> None:
         state, head, later = two_upstreams()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(watch_rests, state)
+            tasks.start_soon(log_backoff_ends, state)
             for seconds in (0.05, 0.04, 0.03):
-                note_rest(state, head, seconds)
-            note_rest(state, later, 0.02)
-            while state.resting.upstreams:
+                record_backoff(state, head, seconds)
+            record_backoff(state, later, 0.02)
+            while state.backoff_watch.upstreams:
                 await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
         assert state.metrics.counters["upstream-asked-rest"] == 2
--- a/tests/daemons/gateway/test_loss_news.py
+++ b/tests/daemons/gateway/test_loss_updates.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ledgeladder.daemons.gateway import probing
-from ledgeladder.daemons.gateway.loss_news import confirm_loss, take_loss_news
+from ledgeladder.daemons.gateway.loss_updates import confirm_loss, handle_loss_update
 from ledgeladder.daemons.gateway.state import GatewayState
 from ledgeladder.http1 import ConnectError
 from ledgeladder.routing.forwarding_table import ForwardedUpstream, is_usable
@@ -35,7 +35,7 @@
 
     async def run() -> bool:
         held.heard_at = anyio.current_time() - 0.5
-        affected = take_loss_news(state, "i-1")
+        affected = handle_loss_update(state, "i-1")
         assert not is_usable(held, anyio.current_time()) or held.proven_at > held.heard_at
         return affected is not None
 
@@ -55,7 +55,7 @@
 
     async def run() -> None:
         held.proven_at = anyio.current_time()
-        assert take_loss_news(state, "i-1") is None
+        assert handle_loss_update(state, "i-1") is None
         assert is_usable(held, anyio.current_time())
 
     anyio.run(run)
@@ -71,7 +71,7 @@
 
 def take_loss_news_in_loop(state: GatewayState, instance: str) -> ForwardedUpstream | None:
     async def run() -> ForwardedUpstream | None:
-        return take_loss_news(state, instance)
+        return handle_loss_update(state, instance)
 
     return anyio.run(run)
 
--- a/tests/daemons/gateway/test_plain.py
+++ b/tests/daemons/gateway/test_plain.py
@@ -10,8 +10,8 @@
 from anyio.abc import SocketAttribute, SocketStream
 
 from ledgeladder.daemons.gateway import plain
-from ledgeladder.daemons.gateway.notes import RequestNotes
 from ledgeladder.daemons.gateway.plain import _Tries, _try_once
+from ledgeladder.daemons.gateway.request_trace import RequestTrace
 from ledgeladder.http1 import connect
 from ledgeladder.model.traffic import RequestKind
 from ledgeladder.routing.forwarding_table import put_registration
@@ -58,7 +58,7 @@
                 method=b"GET", target=b"/", body=b"", headers=[(b"Host", b"x")], fields={}
             )
             final = await _try_once(
-                state, permit(anyio.current_time()), request, _Tries(), upstream, RequestNotes()
+                state, permit(anyio.current_time()), request, _Tries(), upstream, RequestTrace()
             )
             assert not final
             tasks.cancel_scope.cancel()
@@ -100,11 +100,11 @@
             item = engine(f"s-{number}", f"{LOCAL}:{number + 1}")
             state.table.pools.setdefault("p", []).append(item)
         budget = RepeatWindow(ratio=0.0, reserve=reserve, seconds=10.0)
-        state.repeats["p"] = budget
+        state.retry_budgets["p"] = budget
         now = anyio.current_time()
         request: Any = SimpleNamespace(arrived_at=now, method=b"GET", target=b"/", body=b"")
         exchange: Any = SimpleNamespace(answer=answer)
-        await plain.forward_plain(state, permit(now), request, exchange, RequestNotes())
+        await plain.forward_plain(state, permit(now), request, exchange, RequestTrace())
         return len(budget.repeats)
 
     repeats = anyio.run(play)
--- a/tests/daemons/gateway/test_rate_limits.py
+++ b/tests/daemons/gateway/test_rate_limits.py
@@ -11,9 +11,9 @@
 from ledgeladder.coordination.rate_limit import GRANT_SECONDS, ToldLimit
 from ledgeladder.daemons import limit_keeper
 from ledgeladder.daemons.gateway import upstream_call
+from ledgeladder.daemons.gateway.backpressure import handle_backpressure, request_grants
 from ledgeladder.daemons.gateway.state import GatewayState, limit_keeper_of
 from ledgeladder.daemons.gateway.upstream_call import WithheldError, open_answer
-from ledgeladder.daemons.gateway.upstream_wishes import ask_for_grants, note_wishes
 from ledgeladder.daemons.limit_keeper import keep_limits, take_grant_reply, take_limits
 from ledgeladder.links.frames import LENGTH, decode_payload
 from ledgeladder.links.messages import Grant, GrantReply, GrantRequest, RateLimitNews
@@ -26,7 +26,7 @@
 from ledgeladder.routing.rate_grants import any_limited
 
 from .builders import engine, gateway_state
-from .test_upstream_wishes import PERMIT
+from .test_backpressure import PERMIT
 
 NAMED = ToldLimit(rate=2.0, named_age=0.0, ended_age=None)
 
@@ -64,7 +64,7 @@
     """Take in the head of an answer, which the upstream signed."""
     fields = {"replica-seal": "x"} | {name.replace("_", "-"): text for name, text in more.items()}
     told = [(name.encode(), text.encode()) for name, text in fields.items()]
-    note_wishes(state, PERMIT, upstream, read_answer_facts(status, told), sent_at)
+    handle_backpressure(state, PERMIT, upstream, read_answer_facts(status, told), sent_at)
 
 
 @pytest.mark.parametrize(
@@ -115,7 +115,7 @@
         now = anyio.current_time()
         if fields.get("replica_seal") == "":
             facts = read_answer_facts(status, [])
-            note_wishes(state, PERMIT, upstream, facts, now + 1.0)
+            handle_backpressure(state, PERMIT, upstream, facts, now + 1.0)
         else:
             answer(state, upstream, now + 1.0 if later else 0.0, status, **fields)
         assert upstream.limit is not None
@@ -152,12 +152,12 @@
         state, upstream, boxes = linked()
         answer(state, upstream, 0.0, server_limit="2")
         for _ in range(5):
-            ask_for_grants(state, "")
+            request_grants(state, "")
         await run_keeper(state, 0.1)
         assert [len(box.news) for box in boxes] == [1, 1, 1]
         asked = [request for box in boxes for request in box.asked]
         assert sum(request.counts["i-1"] for request in asked) == 1
-        ask_for_grants(state, "")
+        request_grants(state, "")
         await run_keeper(state, 0.1)
         assert sum(len(box.asked) for box in boxes) == len(asked)
 
@@ -168,7 +168,7 @@
     async def play() -> None:
         state, upstream, boxes = linked()
         answer(state, upstream, 0.0, server_limit="2")
-        ask_for_grants(state, "")
+        request_grants(state, "")
         await run_keeper(state, 0.05)
         call = next(request.call for box in boxes for request in box.asked)
         take_grant_reply(limit_keeper_of(state), reply(call, 1))
@@ -191,7 +191,7 @@
     async def play() -> None:
         state, upstream, boxes = linked(1)
         answer(state, upstream, 0.0, server_limit="2")
-        ask_for_grants(state, "")
+        request_grants(state, "")
         await run_keeper(state, 0.05)
         call = boxes[0].asked[0].call
         limit_keeper_of(state).asked_at[call] -= GRANT_SECONDS
@@ -205,7 +205,7 @@
     async def play() -> None:
         state, upstream, _boxes = linked(0)
         answer(state, upstream, 0.0, server_limit="2")
-        ask_for_grants(state, "")
+        request_grants(state, "")
         await run_keeper(state, 0.05)
         assert not takes_work(upstream, anyio.current_time())
 
--- a/tests/daemons/gateway/test_borrowing.py
+++ b/tests/daemons/gateway/test_retry_quota.py
@@ -8,8 +8,8 @@
 import anyio
 import pytest
 
-from ledgeladder.daemons.gateway import borrowing
-from ledgeladder.daemons.gateway.borrowing import spend_repeat, take_loan_reply
+from ledgeladder.daemons.gateway import retry_quota
+from ledgeladder.daemons.gateway.retry_quota import acquire_retry, handle_quota_reply
 from ledgeladder.daemons.gateway.state import GatewayState
 from ledgeladder.links.messages import LoanReply, LoanRequest
 from ledgeladder.routing.repeat_window import Repeat
@@ -51,7 +51,7 @@
     sources: list[Repeat | None] = []
 
     async def spend() -> None:
-        sources.append(await spend_repeat(state, POOL))
+        sources.append(await acquire_retry(state, POOL))
 
     async with anyio.create_task_group() as tasks:
         for _ in range(count):
@@ -60,7 +60,7 @@
             await anyio.sleep(0)
             for box in boxes:
                 while box.replies:
-                    take_loan_reply(state, box.replies.pop(0))
+                    handle_quota_reply(state, box.replies.pop(0))
     return sources
 
 
@@ -94,14 +94,14 @@
 
 
 def test_silent_control_box_holds_nobody_up_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(borrowing, "BORROW_SECONDS", 0.01)
+    monkeypatch.setattr(retry_quota, "QUOTA_WAIT_SECONDS", 0.01)
     state, boxes = linked(None)
     assert anyio.run(spend_all, state, boxes, 3) == [None, None, None]
-    assert state.gathered_loans == {}
-    monkeypatch.setattr(borrowing, "LOAN_SECONDS", 0.0)
-    take_loan_reply(state, LoanReply(call=boxes[0].asked[0].call, count=4))
+    assert state.batched_quota_requests == {}
+    monkeypatch.setattr(retry_quota, "LOAN_SECONDS", 0.0)
+    handle_quota_reply(state, LoanReply(call=boxes[0].asked[0].call, count=4))
     assert anyio.run(spend_all, state, boxes, 1) == [None]
-    assert len(state.open_loans) == 1
+    assert len(state.pending_quota_requests) == 1
 
 
 def test_caller_that_leaves_does_not_keep_others_from_asking() -> None:
@@ -110,13 +110,13 @@
     async def run() -> list[Repeat | None]:
         with anyio.CancelScope() as scope:
             scope.cancel()
-            await spend_repeat(state, POOL)
+            await acquire_retry(state, POOL)
         return await spend_all(state, boxes, 2)
 
     assert lent(anyio.run(run)) == 2
-    assert state.gathered_loans == {}
+    assert state.batched_quota_requests == {}
 
 
 def test_box_without_links_refuses_at_once() -> None:
     state = gateway_state()
-    assert anyio.run(spend_repeat, state, POOL) is None
+    assert anyio.run(acquire_retry, state, POOL) is None
--- a/tests/daemons/gateway/test_waiting.py
+++ b/tests/daemons/gateway/test_waiting.py
@@ -15,7 +15,7 @@
 
 from ledgeladder.coordination.freshness import ask, take_answer
 from ledgeladder.daemons.gateway.checks import START_SECONDS, Permit
-from ledgeladder.daemons.gateway.notes import RequestNotes
+from ledgeladder.daemons.gateway.request_trace import RequestTrace
 from ledgeladder.daemons.gateway.state import answer_pace
 from ledgeladder.daemons.gateway.waiting import (
     is_starting,
@@ -101,7 +101,7 @@
         order.append(name)
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(run_queue, state.start_waits)
+        tasks.start_soon(run_queue, state.start_queue)
         async with anyio.create_task_group() as waiting:
             for name, said in callers.items():
                 waiting.start_soon(call, name, said)
@@ -171,7 +171,7 @@
     async def run() -> None:
         state = started()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(run_queue, state.start_waits)
+            tasks.start_soon(run_queue, state.start_queue)
             async with anyio.create_task_group() as waiting:
                 waiting.start_soon(wait_for_turn, state, request(), facts())
                 await anyio.wait_all_tasks_blocked()
@@ -188,10 +188,10 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(wait_for_turn, state, request(), facts())
             await anyio.wait_all_tasks_blocked()
-            assert len(state.start_waits.queue.waiting) == 1
+            assert len(state.start_queue.queue.waiting) == 1
             tasks.cancel_scope.cancel()
-        assert not state.start_waits.queue.waiting
-        assert not state.start_waits.turns
+        assert not state.start_queue.queue.waiting
+        assert not state.start_queue.turns
 
     anyio.run(run)
 
@@ -243,7 +243,7 @@
     """Wait for half of the time that a request has."""
     until = anyio.current_time() + (held.facts.patience or 0.0) / 2
     return await wait_for_upstreams(
-        state, held, request(), RequestNotes(), seconds=seconds, until=until
+        state, held, request(), RequestTrace(), seconds=seconds, until=until
     )
 
 
@@ -252,12 +252,12 @@
         state = gateway_state()
         service = resting_service(state, 0.1)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(run_queue, state.upstream_waits)
+            tasks.start_soon(run_queue, state.upstream_queue)
             assert await wait(state, permit(5.0), 0.1)
             assert takes_work(service, anyio.current_time())
             tasks.cancel_scope.cancel()
-        assert not state.upstream_waits.queue.waiting
-        assert not state.upstream_waits.turns
+        assert not state.upstream_queue.queue.waiting
+        assert not state.upstream_queue.turns
 
     anyio.run(run)
 
@@ -277,7 +277,7 @@
         state = gateway_state()
         resting_service(state, 60.0)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(run_queue, state.upstream_waits)
+            tasks.start_soon(run_queue, state.upstream_queue)
             with anyio.fail_after(1.0):
                 assert not await wait(state, permit(0.4), 0.1)
             tasks.cancel_scope.cancel()
@@ -300,7 +300,7 @@
             went.append((name, anyio.current_time()))
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(run_queue, state.upstream_waits)
+            tasks.start_soon(run_queue, state.upstream_queue)
             async with anyio.create_task_group() as waiting:
                 for name, priority in (("usual", 3), ("late", 5), ("urgent", 0)):
                     waiting.start_soon(call, name, priority)
@@ -331,7 +331,7 @@
             put_registration(state.table, registration, now)
         state.table.upstreams["a"].wishes.rest_until = now + 0.1
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(run_queue, state.upstream_waits)
+            tasks.start_soon(run_queue, state.upstream_queue)
             assert await wait(state, permit(5.0, pool=POOL), 0.1)
             assert anyio.current_time() >= now + 0.1
             tasks.cancel_scope.cancel()
@@ -345,7 +345,7 @@
     async def run() -> None:
         state = gateway_state()
         resting_service(state, 0.1)
-        state.upstream_waits.turn_pace.mean = 1.0
+        state.upstream_queue.turn_pace.mean = 1.0
         async with anyio.create_task_group() as tasks:
             for _ in range(3):
                 tasks.start_soon(wait, state, permit(60.0), 0.1)
@@ -360,7 +360,7 @@
 def test_full_queue_refuses_at_once() -> None:
     async def run() -> None:
         state = gateway_state()
-        state.upstream_waits.queue.most_requests = 0
+        state.upstream_queue.queue.most_requests = 0
         resting_service(state, 0.1)
         with anyio.fail_after(0.05):
             assert not await wait(state, permit(5.0), 0.1)
--- a/tests/daemons/test_clock.py
+++ b/tests/daemons/test_clock.py
@@ -11,7 +11,7 @@
 from ledgeladder.coordination import raft
 from ledgeladder.coordination.freshness import ask, take_answer
 from ledgeladder.daemons import clock
-from ledgeladder.daemons.gateway.state import belief_holds
+from ledgeladder.daemons.gateway.state import check_freshness
 from ledgeladder.daemons.launch import LOOP_OPTIONS
 from ledgeladder.daemons.registry.newest import current_knowledge, leader_is_sure
 from ledgeladder.model.traffic import CallerLimits, TrafficConfiguration
@@ -68,9 +68,9 @@
         )
         call = ask(state.freshness, anyio.current_time())
         take_answer(state.freshness, call, 3, 0.0)
-        assert belief_holds(state, anyio.current_time())
+        assert check_freshness(state, anyio.current_time())
         machine.suspend()
-        assert not belief_holds(state, anyio.current_time())
+        assert not check_freshness(state, anyio.current_time())
 
     anyio.run(play, backend_options=LOOP_OPTIONS)
 
