--- a/src/ledgeladder/daemons/gateway/following.py
+++ b/src/ledgeladder/daemons/gateway/control_link.py
@@ -65,18 +65,18 @@
 
 logger = logging.getLogger(__name__)
 
-ASK_SECONDS: Final = 1.0
+VERSION_POLL_SECONDS: Final = 1.0
 """How often each linked control box is asked for the newest version: three of them answer a dozen
 times within the bound after which a key that was taken away must not work."""
 
-FORGET_SECONDS: Final = 15.0
+UPSTREAM_EXPIRY_SECONDS: Final = 15.0
 """An upstream that no control box has heard for this long is dropped here too."""
 
-GONE_REMEMBERED: Final = 4096
+MAX_EXITED_INSTANCES: Final = 4096
 """Runs of ended upstreams that are remembered, so that late news does not bring one back."""
 
 
-async def serve_control(state: GatewayState, address: str, link: Link) -> None:
+async def serve_control_link(state: GatewayState, address: str, link: Link) -> None:
     """Serve the link to one control box.
 
     Args:
@@ -86,24 +86,24 @@
     """
     order = UpstreamOrder()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_keep_asking, state, link)
-        tasks.start_soon(_keep_reporting, state, address, link)
+        tasks.start_soon(_poll_version, state, link)
+        tasks.start_soon(_report_load, state, address, link)
         while True:
             with anyio.fail_after(SILENCE_SECONDS):
                 message = await link.receive()
             match message:
                 case VersionReply():
-                    _take_reply(state, link, message)
+                    _handle_version_reply(state, link, message)
                 case DocumentPush():
-                    put_in_force(state, message)
+                    apply_document(state, message)
                 case RegistrationNews():
-                    take_news(state, message.told)
+                    apply_registrations(state, message.told)
                 case OrderOfUpstreams():
                     order = message.order
                 case ChangedOrder():
                     order = apply_change(order, message.change)
                 case RegistrationAges():
-                    _take_ages(state, unpack_ages(order, message.order, message.ages))
+                    _apply_ages(state, unpack_ages(order, message.order, message.ages))
                 case LossNews():
                     engine = handle_loss_update(state, message.instance)
                     if engine is not None:
@@ -117,7 +117,7 @@
                 case RateLimitNews() | GrantReply():
                     take_limit_message(limit_keeper_of(state), message)
                 case LoadTotals():
-                    _take_loads(state, unpack_loads(order, message.order, message.loads))
+                    _apply_load_totals(state, unpack_loads(order, message.order, message.loads))
                 case PeerHint():
                     if state.peers is not None:
                         add_peers(state.peers, message.addresses, message.domains)
@@ -125,37 +125,37 @@
                     logger.warning("message of the wrong kind", extra={"peer": address})
 
 
-async def _keep_asking(state: GatewayState, link: Link) -> None:
+async def _poll_version(state: GatewayState, link: Link) -> None:
     """Ask a control box for its document once and for the newest version again and again."""
     link.post(DocumentPull(version=state.version))
     while True:
         link.post(VersionQuery(call=ask(state.freshness, anyio.current_time())))
-        await anyio.sleep(ASK_SECONDS)
+        await anyio.sleep(VERSION_POLL_SECONDS)
 
 
-async def _keep_reporting(state: GatewayState, address: str, link: Link) -> None:
+async def _report_load(state: GatewayState, address: str, link: Link) -> None:
     """Tell one control box what the own requests take on each upstream, for ever.
 
     Only the preferred one is told; it adds up what it was told and passes the sum on to the others.
     """
     peers = state.peers
     assert peers is not None
-    told: LoadReport | None = None
-    told_at = 0.0
+    sent: LoadReport | None = None
+    sent_at = 0.0
     while True:
         if primary_of(peers) != address:
-            told = None
+            sent = None
         else:
-            report = _load_report(state)
+            report = _build_load_report(state)
             now = anyio.current_time()
-            if is_report_due(report != told, now - told_at):
+            if is_report_due(report != sent, now - sent_at):
                 link.post(report)
-                _note_reported(state)
-                told, told_at = report, now
+                _record_reported(state)
+                sent, sent_at = report, now
         await anyio.sleep(load_interval(state.entry_count, len(peers.known)))
 
 
-def _load_report(state: GatewayState) -> LoadReport:
+def _build_load_report(state: GatewayState) -> LoadReport:
     return LoadReport(
         loads={
             instance: LoadFigures(item.in_flight, item.kv_reserved)
@@ -165,29 +165,29 @@
     )
 
 
-def _note_reported(state: GatewayState) -> None:
+def _record_reported(state: GatewayState) -> None:
     """Note that a report has been sent: the sums that come back contain these own loads."""
     for item in state.table.upstreams.values():
         item.reported_in_flight, item.reported_kv = item.in_flight, item.kv_reserved
 
 
-def _take_loads(state: GatewayState, told: Iterable[tuple[str, LoadFigures]]) -> None:
+def _apply_load_totals(state: GatewayState, updates: Iterable[tuple[str, LoadFigures]]) -> None:
     """Take in the load of all entry boxes."""
     now = anyio.current_time()
-    for instance, load in told:
+    for instance, load in updates:
         item = state.table.upstreams.get(instance)
         if item is not None:
             take_others(item, load.in_flight, load.kv_reserved, now)
 
 
-def _take_reply(state: GatewayState, link: Link, reply: VersionReply) -> None:
+def _handle_version_reply(state: GatewayState, link: Link, reply: VersionReply) -> None:
     take_answer(state.freshness, reply.call, reply.version, reply.age)
     record_entry_count(state, reply.entries, anyio.current_time())
     if reply.version > state.version:
         link.post(DocumentPull(version=state.version))
 
 
-def put_in_force(state: GatewayState, push: DocumentPush) -> None:
+def apply_document(state: GatewayState, push: DocumentPush) -> None:
     """Put a document in force if it is newer than the one that is.
 
     Args:
@@ -213,16 +213,16 @@
     )
 
 
-def take_news(state: GatewayState, told: tuple[Liveness, ...]) -> None:
+def apply_registrations(state: GatewayState, updates: tuple[Liveness, ...]) -> None:
     """Take in what upstreams said of themselves.
 
     Args:
         state: The process's state.
-        told: Registrations with their ages. One that is not newer than what is known is passed
+        updates: Registrations with their ages. One that is not newer than what is known is passed
             over; ages alone come with `RegistrationAges`.
     """
     now = anyio.current_time()
-    for item in told:
+    for item in updates:
         registration = item.registration
         instance = registration.instance
         if instance in state.exited_instances:
@@ -232,14 +232,14 @@
             if other.registration.born_ms >= registration.born_ms:
                 # A late word of an earlier run.
                 continue
-            _end_run(state, other, now)
-        held = state.table.upstreams.get(instance)
+            _retire_instance(state, other, now)
+        known = state.table.upstreams.get(instance)
         if registration.state is UpstreamState.GONE:
-            _remember_gone(state, instance)
-        elif held is not None and registration.sequence <= held.registration.sequence:
+            _record_exited(state, instance)
+        elif known is not None and registration.sequence <= known.registration.sequence:
             continue
         put_registration(state.table, registration, now - item.age)
-        if held is None or held.registration.state is not registration.state:
+        if known is None or known.registration.state is not registration.state:
             logger.info(
                 "upstream known",
                 extra={
@@ -250,36 +250,36 @@
             )
 
 
-def _end_run(state: GatewayState, upstream: ForwardedUpstream, now: float) -> None:
+def _retire_instance(state: GatewayState, upstream: ForwardedUpstream, now: float) -> None:
     """Take in that an upstream runs anew: the run before has ended, with all that was on it."""
     instance = upstream.registration.instance
-    _remember_gone(state, instance)
+    _record_exited(state, instance)
     note_ended(upstream, now)
     note_lost(upstream, now)
     drop_upstream(state.table, instance)
     logger.info("upstream runs anew", extra={"upstream": instance})
 
 
-def _remember_gone(state: GatewayState, instance: str) -> None:
+def _record_exited(state: GatewayState, instance: str) -> None:
     state.exited_instances[instance] = None
-    while len(state.exited_instances) > GONE_REMEMBERED:
+    while len(state.exited_instances) > MAX_EXITED_INSTANCES:
         del state.exited_instances[next(iter(state.exited_instances))]
 
 
-def _take_ages(state: GatewayState, told: Iterable[tuple[str, float]]) -> None:
+def _apply_ages(state: GatewayState, updates: Iterable[tuple[str, float]]) -> None:
     """Note when upstreams were last heard, in seconds before now, and drop the silent ones."""
     now = anyio.current_time()
-    for instance, age in told:
-        held = state.table.upstreams.get(instance)
-        if held is not None:
-            held.heard_at = max(held.heard_at, now - age)
-    silent = [
+    for instance, age in updates:
+        known = state.table.upstreams.get(instance)
+        if known is not None:
+            known.heard_at = max(known.heard_at, now - age)
+    expired = [
         instance
-        for instance, held in state.table.upstreams.items()
-        if now - held.heard_at > FORGET_SECONDS
+        for instance, known in state.table.upstreams.items()
+        if now - known.heard_at > UPSTREAM_EXPIRY_SECONDS
     ]
-    for instance in silent:
+    for instance in expired:
         drop_upstream(state.table, instance)
         logger.warning(
-            "upstream not heard", extra={"upstream": instance, "seconds": FORGET_SECONDS}
+            "upstream not heard", extra={"upstream": instance, "seconds": UPSTREAM_EXPIRY_SECONDS}
         )
--- a/src/ledgeladder/daemons/gateway/loss_updates.py
+++ b/src/ledgeladder/daemons/gateway/loss_updates.py
@@ -8,7 +8,7 @@
 import anyio
 
 from ...routing.forwarding_table import note_reachable, note_told_lost
-from .probing import PROOF_SECONDS, find_lost
+from .probing import LIVENESS_SECONDS, find_unreachable
 
 if TYPE_CHECKING:
     from ...routing.forwarding_table import ForwardedUpstream
@@ -31,7 +31,7 @@
     """
     engine = state.table.upstreams.get(instance)
     now = anyio.current_time()
-    if engine is None or now - engine.proven_at <= PROOF_SECONDS:
+    if engine is None or now - engine.proven_at <= LIVENESS_SECONDS:
         return None
     if not note_told_lost(engine, now):
         return None
@@ -45,5 +45,5 @@
 
     They then go on elsewhere after a round trip, and not after a pause that is long for a stream.
     """
-    if not await find_lost(state, [engine], set(), proof_seconds=0.0):
+    if not await find_unreachable(state, [engine], set(), liveness_seconds=0.0):
         note_reachable(engine)
--- a/src/ledgeladder/daemons/gateway/main.py
+++ b/src/ledgeladder/daemons/gateway/main.py
@@ -19,7 +19,7 @@
 from ..supervisor import Child, Restart, supervise
 from .app import build_caller_site
 from .backpressure import log_backoff_ends
-from .following import serve_control
+from .control_link import serve_control_link
 from .metrics import metrics_lines
 from .readiness import build_ready_site
 from .state import GatewayState, build_admission_queue, limit_keeper_of
@@ -66,7 +66,7 @@
     own = settings.box.address
 
     async def serve(address: str, link: Link) -> None:
-        await serve_control(state, address, link)
+        await serve_control_link(state, address, link)
 
     def is_stale() -> bool:
         confirmed_at = max(state.freshness.as_of, state.started_at)
--- a/src/ledgeladder/daemons/gateway/plain.py
+++ b/src/ledgeladder/daemons/gateway/plain.py
@@ -30,18 +30,18 @@
 from .backpressure import request_grants
 from .checks import Permit, refusal
 from .crashes import count_crashes, record_answered, record_crash
-from .probing import find_ended
+from .probing import check_exited
 from .request_trace import content_fingerprint
 from .retry_quota import acquire_retry
 from .state import answer_pace, record_duration, retry_budget
 from .upstream_call import (
-    FAILED_STATUS,
+    MIN_FAILURE_STATUS,
     AnswerLostError,
+    BackpressureError,
     NotSentError,
     OpenAnswer,
-    WithheldError,
     open_answer,
-    read_whole,
+    read_body,
 )
 from .waiting import wait_for_upstreams
 
@@ -242,7 +242,7 @@
         tries.runs -= 1
         note_lost(upstream, anyio.current_time())
         return False
-    except WithheldError as error:
+    except BackpressureError as error:
         outcome = f"withheld: {error}"
         tries.sent -= 1
         tries.runs -= 1
@@ -250,7 +250,7 @@
     except AnswerLostError as error:
         outcome = f"lost: {error}"
         note_failed(upstream, anyio.current_time())
-        if await find_ended(state, upstream, set()):
+        if await check_exited(state, upstream, set()):
             record_crash(state, permit, request, trace, [upstream], now)
         return False
     except TimeoutError:
@@ -288,7 +288,7 @@
 
     Raises:
         NotSentError: If nothing was sent.
-        WithheldError: If the upstream wants it no more.
+        BackpressureError: If the upstream wants it no more.
         AnswerLostError: If the request may have run and no whole answer came.
         TimeoutError: If none came within some seconds, and the request may be sent again.
     """
@@ -301,8 +301,8 @@
             opened = await open_answer(
                 state, permit, request, dispatch, upstream, fresh_connection=fresh
             )
-            answer = opened, await read_whole(state, opened)
-        except (NotSentError, WithheldError, AnswerLostError) as error:
+            answer = opened, await read_body(state, opened)
+        except (NotSentError, BackpressureError, AnswerLostError) as error:
             # Raised below: a task group would wrap it.
             failure = error
         tasks.cancel_scope.cancel()
@@ -362,7 +362,7 @@
         # An answer that its upstream did not sign may belong to anybody.
         raise AnswerLostError(f"unsigned answer with status {status}")
     tries.answer, tries.body = answer, body
-    if status >= FAILED_STATUS:
+    if status >= MIN_FAILURE_STATUS:
         return False
     note_served(upstream)
     return True
--- a/src/ledgeladder/daemons/gateway/probing.py
+++ b/src/ledgeladder/daemons/gateway/probing.py
@@ -29,29 +29,29 @@
 UNKNOWN_ROUND_TRIP_SECONDS: Final = 0.002
 """Round trip that is taken where the document tells no delays."""
 
-SECOND_SHARE: Final = 0.5
+HEDGE_DELAY_SHARE: Final = 0.5
 """Part of that time after which a second connection is tried beside the first: on a link that
 loses packets, one lost packet would make an engine look dead."""
 
 PROBE_CEILING_FACTOR: Final = 10.0
 """How many times the least time an engine gets on a box whose connections come up slowly."""
 
-PROOF_SECONDS: Final = 0.035
+LIVENESS_SECONDS: Final = 0.035
 """How long an engine counts as working after it showed so: less than the shortest pause that is
 looked into, so that the pause itself is no proof. An engine in use shows it every few
 milliseconds."""
 
-LATE_SECONDS: Final = 0.02
+LATE_TIMER_SECONDS: Final = 0.02
 """A time-out that fires later than this says that the own box was held up, and nothing of the
 engine: timers of a box that is not held up fire within a few milliseconds."""
 
 
-async def find_lost(
+async def find_unreachable(
     state: GatewayState,
     engines: Iterable[ForwardedUpstream],
     dead: set[str],
     *,
-    proof_seconds: float = PROOF_SECONDS,
+    liveness_seconds: float = LIVENESS_SECONDS,
 ) -> bool:
     """Connect to suspected engines side by side, and tell of those that are dead.
 
@@ -61,7 +61,7 @@
         state: The process's state.
         engines: The engines, those of a path for example.
         dead: Runs of engines that are known to be dead; those found are added.
-        proof_seconds: How long an engine counts as working after it showed so.
+        liveness_seconds: How long an engine counts as working after it showed so.
 
     Returns:
         True if any does not accept a connection.
@@ -76,14 +76,14 @@
 
     async with anyio.create_task_group() as tasks:
         for engine in engines:
-            if anyio.current_time() - engine.proven_at > proof_seconds:
+            if anyio.current_time() - engine.proven_at > liveness_seconds:
                 tasks.start_soon(probe, engine)
     for engine in found:
         report_lost(state, engine, dead)
     return bool(found)
 
 
-async def find_ended(state: GatewayState, upstream: ForwardedUpstream, dead: set[str]) -> bool:
+async def check_exited(state: GatewayState, upstream: ForwardedUpstream, dead: set[str]) -> bool:
     """Find out whether the process of an upstream has ended whose connection broke.
 
     It is asked even if it has just worked for another request. Only a refused connection counts: a
@@ -99,7 +99,7 @@
         True if nobody listens at its address.
     """
     address = upstream.registration.address
-    seconds = probe_seconds(state, upstream.registration.pool)
+    seconds = probe_timeout(state, upstream.registration.pool)
     if not await nobody_listens(address, state.settings.box.address, seconds=seconds):
         return False
     note_ended(upstream, anyio.current_time())
@@ -134,7 +134,7 @@
             link.post(LostReport(instance=engine.registration.instance))
 
 
-def probe_seconds(state: GatewayState, pool: str) -> float:
+def probe_timeout(state: GatewayState, pool: str) -> float:
     """Return how long an engine of a pool gets to accept a connection, in seconds.
 
     It follows from how long they took lately, and is at least `PROBE_ROUND_TRIPS`.
@@ -158,10 +158,10 @@
     """
     reason = ""
     for _ in range(2):
-        patience = probe_seconds(state, engine.registration.pool)
-        began = anyio.current_time()
+        timeout = probe_timeout(state, engine.registration.pool)
+        started_at = anyio.current_time()
         try:
-            took = await _connect_twice(state, engine, patience)
+            took = await _connect_hedged(state, engine, timeout)
         except ConnectError as error:
             reason = str(error)
             if error.is_refusal:
@@ -172,8 +172,8 @@
             note_gap(state.probe_pace, took)
             engine.proven_at = anyio.current_time()
             return ""
-        took = anyio.current_time() - began
-        if took <= patience + LATE_SECONDS:
+        took = anyio.current_time() - started_at
+        if took <= timeout + LATE_TIMER_SECONDS:
             return reason
         # The late time-out is a sign that connections come up slowly from here, too.
         note_gap(state.probe_pace, took)
@@ -185,13 +185,13 @@
     return ""
 
 
-async def _connect_twice(state: GatewayState, engine: ForwardedUpstream, patience: float) -> float:
+async def _connect_hedged(state: GatewayState, engine: ForwardedUpstream, timeout: float) -> float:
     """Connect, and once more beside it after a part of the time.
 
     Args:
         state: The process's state.
         engine: The engine.
-        patience: Longest time for both, in seconds.
+        timeout: Longest time for both, in seconds.
 
     Returns:
         How long the connection that came up took, in seconds.
@@ -202,25 +202,25 @@
     took: float | None = None
     failure: ConnectError | None = None
 
-    async def attempt(wait: float, scope: anyio.CancelScope) -> None:
+    async def try_connect(wait: float, scope: anyio.CancelScope) -> None:
         nonlocal took, failure
         await anyio.sleep(wait)
-        began = anyio.current_time()
+        started_at = anyio.current_time()
         address, source = engine.registration.address, state.settings.box.address
         try:
-            connection = await connect(address, source=source, seconds=patience - wait)
+            connection = await connect(address, source=source, seconds=timeout - wait)
         except ConnectError as error:
             failure = error
             if not isinstance(error.__cause__, TimeoutError):
                 scope.cancel()
             return
-        took = anyio.current_time() - began
+        took = anyio.current_time() - started_at
         await connection.close()
         scope.cancel()
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(attempt, 0.0, tasks.cancel_scope)
-        tasks.start_soon(attempt, patience * SECOND_SHARE, tasks.cancel_scope)
+        tasks.start_soon(try_connect, 0.0, tasks.cancel_scope)
+        tasks.start_soon(try_connect, timeout * HEDGE_DELAY_SHARE, tasks.cancel_scope)
     if took is not None:
         return took
     assert failure is not None
--- a/src/ledgeladder/daemons/gateway/asking.py
+++ b/src/ledgeladder/daemons/gateway/slowdown_queries.py
@@ -20,15 +20,15 @@
 
 logger = logging.getLogger(__name__)
 
-ASK_SECONDS: Final = 0.06
+QUERY_TIMEOUT_SECONDS: Final = 0.06
 """How long engines may take to tell, connection included. Short, since the stream that is late is
 not read meanwhile; reports wait for no slot of the engine."""
 
-ASK_AGAIN_SECONDS: Final = 1.0
+QUERY_INTERVAL_SECONDS: Final = 1.0
 """Least time between two questions to one engine; a report is 0.2 s old and has a price."""
 
 
-async def ask_slowdowns(state: GatewayState, path: ChosenPath) -> None:
+async def query_slowdowns(state: GatewayState, path: ChosenPath) -> None:
     """Ask the engines of a path how slowly they work, side by side.
 
     What they say counts for the choice of the next paths. For one that does not tell in time, what
@@ -40,26 +40,26 @@
         path: The path.
     """
     now = anyio.current_time()
-    asked = [
+    queried = [
         item
         for item in path.engines
-        if now - item.slowdown_at >= ASK_AGAIN_SECONDS
+        if now - item.slowdown_at >= QUERY_INTERVAL_SECONDS
         and not is_resting(item, now)
         and not is_limited(item.limit, now)
     ]
-    with anyio.move_on_after(ASK_SECONDS):
+    with anyio.move_on_after(QUERY_TIMEOUT_SECONDS):
         async with anyio.create_task_group() as tasks:
-            for engine in asked:
+            for engine in queried:
                 engine.slowdown_at = now
-                tasks.start_soon(_ask, state, engine)
+                tasks.start_soon(_query_slowdown, state, engine)
 
 
-async def _ask(state: GatewayState, engine: ForwardedUpstream) -> None:
+async def _query_slowdown(state: GatewayState, engine: ForwardedUpstream) -> None:
     try:
         report = await fetch_report(
             engine.registration.address,
             source=state.settings.box.address,
-            seconds=ASK_SECONDS,
+            seconds=QUERY_TIMEOUT_SECONDS,
         )
     except RestAskedError as error:
         record_backoff(state, engine, error.seconds)
--- a/src/ledgeladder/daemons/gateway/silence.py
+++ b/src/ledgeladder/daemons/gateway/stall_watch.py
@@ -10,13 +10,13 @@
 from ...http1 import AnswerBrokenError, read_part
 from ...routing.link_doubts import doubt_links
 from ...routing.pace import note_false_alarm, stall_after
-from .asking import ask_slowdowns
-from .probing import find_lost
+from .probing import find_unreachable
+from .slowdown_queries import query_slowdowns
 from .upstream_call import (
     AnswerLostError,
+    BackpressureError,
     NotSentError,
     OpenAnswer,
-    WithheldError,
     open_answer,
 )
 
@@ -54,13 +54,13 @@
 
     Raises:
         NotSentError: If nothing was sent.
-        WithheldError: If an engine of the path wants it no more.
+        BackpressureError: If an engine of the path wants it no more.
         AnswerLostError: If the request may have run and no head came, or came too late.
     """
     answer: OpenAnswer | None = None
     failure: Exception = AnswerLostError("no answer in time")
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_watch_first, state, session, path, tasks.cancel_scope)
+        tasks.start_soon(_watch_head, state, session, path, tasks.cancel_scope)
         try:
             answer = await open_answer(
                 state,
@@ -69,9 +69,9 @@
                 dispatch,
                 path.head,
                 fresh_connection=not permit.route.repeatable,
-                later=path.engines[1:],
+                later_engines=path.engines[1:],
             )
-        except (NotSentError, WithheldError, AnswerLostError) as error:
+        except (NotSentError, BackpressureError, AnswerLostError) as error:
             # Raised below: a task group would wrap it.
             failure = error
         tasks.cancel_scope.cancel()
@@ -80,26 +80,26 @@
     return answer
 
 
-async def _watch_first(
+async def _watch_head(
     state: GatewayState, session: StreamSession, path: ChosenPath, scope: anyio.CancelScope
 ) -> None:
     """Probe the engines of a path each time that the head of the answer is overdue.
 
     The wait is ended when one of them is dead, or after the stream's `first_limit`.
     """
-    limit = session.patience.first_limit
+    limit = session.timeouts.first_limit
     waited = 0.0
     while waited < limit:
-        patience = max(stall_after(state.first_pace), session.patience.first_look)
-        patience = min(patience, limit - waited)
-        await anyio.sleep(patience)
-        waited += patience
-        if await find_lost(state, path.engines, session.dead):
+        timeout = max(stall_after(state.first_pace), session.timeouts.first_look)
+        timeout = min(timeout, limit - waited)
+        await anyio.sleep(timeout)
+        waited += timeout
+        if await find_unreachable(state, path.engines, session.dead):
             scope.cancel()
             return
-        await ask_slowdowns(state, path)
+        await query_slowdowns(state, path)
         _suspect_links(state, session, path, waited)
-    _exclude_all(session, path)
+    _exclude_path(session, path)
     scope.cancel()
 
 
@@ -121,16 +121,16 @@
         AnswerBrokenError: If the answer ends early.
         AnswerLostError: If an engine is dead, or none is and the silence lasts too long.
     """
-    with anyio.move_on_after(_gap_patience(session)):
+    with anyio.move_on_after(_gap_timeout(session)):
         return await read_part(answer.connection)
     return await _read_overdue(state, session, path, answer)
 
 
-def _gap_patience(session: StreamSession) -> float:
+def _gap_timeout(session: StreamSession) -> float:
     """Return how long the next part may take before the engines are looked at, in seconds."""
     is_known = session.pace.mean > 0
-    patience = stall_after(session.pace) if is_known else session.patience.first_look
-    return min(patience, session.patience.gap_limit)
+    timeout = stall_after(session.pace) if is_known else session.timeouts.first_look
+    return min(timeout, session.timeouts.gap_limit)
 
 
 async def _read_overdue(
@@ -147,9 +147,9 @@
     """
     part: bytes | None = None
     failure: Exception | None = AnswerLostError("the path was given up")
-    losses: list[str] = []
+    reasons: list[str] = []
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_watch_gap, state, session, path, losses, tasks.cancel_scope)
+        tasks.start_soon(_watch_stall, state, session, path, reasons, tasks.cancel_scope)
         try:
             part = await read_part(answer.connection)
             failure = None
@@ -159,14 +159,14 @@
         tasks.cancel_scope.cancel()
     if failure is None:
         return part
-    raise AnswerLostError(losses[0]) if losses else failure
+    raise AnswerLostError(reasons[0]) if reasons else failure
 
 
-async def _watch_gap(
+async def _watch_stall(
     state: GatewayState,
     session: StreamSession,
     path: ChosenPath,
-    losses: list[str],
+    reasons: list[str],
     scope: anyio.CancelScope,
 ) -> None:
     """Look at the engines of a stream that pauses; cancel its reading if it is to be given up.
@@ -175,30 +175,30 @@
         state: The process's state.
         session: The caller's stream.
         path: The path.
-        losses: Takes why it is given up.
+        reasons: Takes why it is given up.
         scope: What to cancel then.
     """
-    waited = _gap_patience(session)
+    waited = _gap_timeout(session)
     while True:
-        if await find_lost(state, path.engines, session.dead):
-            losses.append("an engine of the path does not answer")
+        if await find_unreachable(state, path.engines, session.dead):
+            reasons.append("an engine of the path does not answer")
             break
-        if waited >= session.patience.ask:
-            await ask_slowdowns(state, path)
+        if waited >= session.timeouts.ask:
+            await query_slowdowns(state, path)
         _suspect_links(state, session, path, waited)
-        if waited >= session.patience.gap_limit:
-            _exclude_all(session, path)
-            losses.append(f"silent for {waited:.2f} s")
+        if waited >= session.timeouts.gap_limit:
+            _exclude_path(session, path)
+            reasons.append(f"silent for {waited:.2f} s")
             break
         state.metrics.counters["false-alarm"] += 1
         note_false_alarm(session.pace)
-        patience = _gap_patience(session)
-        await anyio.sleep(patience)
-        waited += patience
+        timeout = _gap_timeout(session)
+        await anyio.sleep(timeout)
+        waited += timeout
     scope.cancel()
 
 
-def _exclude_all(session: StreamSession, path: ChosenPath) -> None:
+def _exclude_path(session: StreamSession, path: ChosenPath) -> None:
     """Exclude all engines of a path that was silent for too long: nothing tells which it was."""
     session.excluded.update(item.registration.instance for item in path.engines)
 
@@ -207,7 +207,7 @@
     state: GatewayState, session: StreamSession, path: ChosenPath, waited: float
 ) -> None:
     """Avoid the links of a path that has stood still for long although all its engines answer."""
-    if waited < session.patience.link:
+    if waited < session.timeouts.link:
         return
     known = set(state.suspected_links.until)
     links = doubt_links(state.suspected_links, path.domains, anyio.current_time())
--- a/src/ledgeladder/daemons/gateway/stream.py
+++ b/src/ledgeladder/daemons/gateway/stream.py
@@ -14,14 +14,14 @@
 from ...routing.repeat_window import give_back, note_first
 from ...routing.stream_patience import stream_patience
 from .checks import Permit, refusal
-from .come_back import when_there_is_a_path, when_there_is_room
 from .crashes import count_crashes, record_answered
-from .probing import probe_seconds
+from .probing import probe_timeout
+from .retry_after import retry_after_full, retry_after_no_path
 from .retry_quota import acquire_retry
 from .state import retry_budget
-from .stream_paths import choose_run_path, expected_answer, explain_missing_path
-from .stream_run import run_stream
-from .stream_session import RunEnd, StreamSession
+from .stream_attempt import run_attempt
+from .stream_paths import choose_attempt_path, expected_answer_tokens, explain_missing_path
+from .stream_session import AttemptResult, StreamSession
 from .waiting import wait_for_upstreams
 
 if TYPE_CHECKING:
@@ -54,50 +54,50 @@
     """
     profile = permit.pool.engine
     assert profile is not None
-    expected = expected_answer(permit, profile)
+    expected = expected_answer_tokens(permit, profile)
     session = StreamSession(
         order=EventOrder(last_id=permit.facts.resume_after),
-        patience=stream_patience(
+        timeouts=stream_patience(
             target_latency=permit.route.target_latency,
             gap_target=permit.route.gap_target,
-            probe_seconds=probe_seconds(state, permit.pool.name),
+            probe_seconds=probe_timeout(state, permit.pool.name),
             first_seconds=state.first_pace.mean,
         ),
         tokens=permit.facts.prompt_tokens + expected,
-        moved_at=request.arrived_at,
+        last_progress_at=request.arrived_at,
         trace=trace,
     )
     budget = retry_budget(state, permit.pool.name)
     note_first(budget, anyio.current_time())
     with anyio.move_on_after(max(0.0, permit.deadline - anyio.current_time())) as scope:
-        while not (reason := _why_no_further_run(permit, session)):
-            ends = count_crashes(state, permit, request, trace)
-            if ends >= CRASH_LIMIT:
-                reason = f"{ends} upstreams ended under it"
+        while not (reason := _no_attempt_reason(permit, session)):
+            crashes = count_crashes(state, permit, request, trace)
+            if crashes >= CRASH_LIMIT:
+                reason = f"{crashes} upstreams ended under it"
                 break
-            path = choose_run_path(state, permit, profile, session, expected)
+            path = choose_attempt_path(state, permit, profile, session, expected)
             if path is None:
                 session.missing = explain_missing_path(state, permit, profile, session, expected)
-                if await _waited(state, permit, request, session, trace):
+                if await _wait_for_engines(state, permit, request, session, trace):
                     continue
                 reason = str(session.missing)
                 break
-            repeat = await acquire_retry(state, permit.pool.name) if session.sent else None
-            if session.sent and repeat is None:
+            retry = await acquire_retry(state, permit.pool.name) if session.sent else None
+            if session.sent and retry is None:
                 reason = "budget of repeats is spent"
                 break
-            end = await run_stream(state, permit, request, exchange, session, path)
-            if end is RunEnd.COMPLETE:
+            result = await run_attempt(state, permit, request, exchange, session, path)
+            if result is AttemptResult.COMPLETE:
                 record_answered(state, permit, request, trace)
                 note_gap(state.stream_pace, anyio.current_time() - request.arrived_at)
                 return
-            if repeat is not None and end is RunEnd.NOT_SENT:
-                give_back(budget, repeat)
+            if retry is not None and result is AttemptResult.NOT_SENT:
+                give_back(budget, retry)
         trace.give_up_reason = reason
-    await _finish(state, permit, exchange, session, late=scope.cancelled_caught)
+    await _finish(state, permit, exchange, session, timed_out=scope.cancelled_caught)
 
 
-async def _waited(
+async def _wait_for_engines(
     state: GatewayState,
     permit: Permit,
     request: HttpRequest,
@@ -112,21 +112,23 @@
     wait = session.missing.wait_seconds if session.missing is not None else None
     if wait is None:
         return False
-    patience = session.patience
-    until = session.moved_at + (patience.gap_look if session.started else patience.first_look)
+    timeouts = session.timeouts
+    until = session.last_progress_at + (
+        timeouts.gap_look if session.started else timeouts.first_look
+    )
     return await wait_for_upstreams(state, permit, request, trace, seconds=wait, until=until)
 
 
-def _why_no_further_run(permit: Permit, session: StreamSession) -> str:
+def _no_attempt_reason(permit: Permit, session: StreamSession) -> str:
     """Return why another run is not allowed; empty if it is. The first one always is."""
     if session.refusals >= REFUSALS_LIMIT:
         return f"{session.refusals} paths refused"
-    if session.runs == 0:
+    if session.attempts == 0:
         return ""
     if not permit.route.repeatable:
         return "it may run once only"
-    if session.runs >= permit.route.max_attempts:
-        return f"sent {session.runs} times, as often as the route allows"
+    if session.attempts >= permit.route.max_attempts:
+        return f"sent {session.attempts} times, as often as the route allows"
     return ""
 
 
@@ -136,7 +138,7 @@
     exchange: Exchange,
     session: StreamSession,
     *,
-    late: bool,
+    timed_out: bool,
 ) -> None:
     """Give the final answer of a stream of which the caller has no head yet.
 
@@ -152,7 +154,7 @@
         headers = caller_headers(head.headers.raw_items())
         await exchange.answer(head.status_code, headers, session.failure_body)
         return
-    if session.runs <= 0 and session.sent == session.refusals:
+    if session.attempts <= 0 and session.sent == session.refusals:
         missing = session.missing
         if missing is not None and missing.wait_seconds is not None:
             is_limited = missing.for_limits
@@ -160,11 +162,11 @@
             raise refusal(code, session.trace.give_up_reason, missing.wait_seconds)
         if session.refusals:
             detail = f"{session.refusals} paths refused; {session.trace.give_up_reason}"
-            raise refusal(ResultCode.UPSTREAM_REFUSED, detail, when_there_is_room(state))
+            raise refusal(ResultCode.UPSTREAM_REFUSED, detail, retry_after_full(state))
         detail = f"no path over {permit.pool.name}; {session.trace.give_up_reason}"
         raise refusal(
-            ResultCode.NO_ROUTE, detail, when_there_is_a_path(state, permit, session.missing)
+            ResultCode.NO_ROUTE, detail, retry_after_no_path(state, permit, session.missing)
         )
-    code = ResultCode.DEADLINE_EXCEEDED if late else ResultCode.UPSTREAM_LOST
+    code = ResultCode.DEADLINE_EXCEEDED if timed_out else ResultCode.UPSTREAM_LOST
     detail = f"sent {session.sent} times without a first event"
     raise ProblemError(Problem(code=code, detail=detail, execution=Execution.UNKNOWN))
--- a/src/ledgeladder/daemons/gateway/stream_run.py
+++ b/src/ledgeladder/daemons/gateway/stream_attempt.py
@@ -21,17 +21,17 @@
 from ...routing.link_load import note_crossings
 from ...routing.paths import ChosenPath, release, reserve
 from .crashes import record_crash
-from .probing import find_ended, find_lost, report_lost
+from .probing import check_exited, find_unreachable, report_lost
 from .request_trace import content_fingerprint
-from .silence import open_watched
-from .stream_events import pass_events
-from .stream_session import RunEnd, StreamSession
+from .stall_watch import open_watched
+from .stream_events import forward_events
+from .stream_session import AttemptResult, StreamSession
 from .upstream_call import (
     AnswerLostError,
+    BackpressureError,
     NotSentError,
     OpenAnswer,
-    WithheldError,
-    read_whole,
+    read_body,
 )
 
 if TYPE_CHECKING:
@@ -45,14 +45,14 @@
 logger = logging.getLogger(__name__)
 
 
-async def run_stream(
+async def run_attempt(
     state: GatewayState,
     permit: Permit,
     request: HttpRequest,
     exchange: Exchange,
     session: StreamSession,
     path: ChosenPath,
-) -> RunEnd:
+) -> AttemptResult:
     """Run a stream once over one path.
 
     Args:
@@ -67,31 +67,33 @@
         How the run ended.
     """
     session.sent += 1
-    session.runs += 1
+    session.attempts += 1
     session.interrupted = False
     session.trace.attempts += 1
-    session.trace.path = _describe(path)
-    session.passed.update(part.instance for part in path.parts)
+    session.trace.path = _describe_path(path)
+    session.tried.update(part.instance for part in path.parts)
     started_at = anyio.current_time()
     reserve(path, session.tokens)
-    _note_crossings(state, permit, session, path)
+    _record_hops(state, permit, session, path)
     detail = ""
-    end = RunEnd.LOST
+    result = AttemptResult.LOST
     try:
-        with anyio.CancelScope() as scope, _told_of_losses(path, session, scope):
-            end, detail = await _follow(state, permit, request, exchange, session, path)
+        with anyio.CancelScope() as scope, _cancel_on_loss(path, session, scope):
+            result, detail = await _send_and_forward(
+                state, permit, request, exchange, session, path
+            )
         if scope.cancelled_caught:
             detail = "an engine of the path was found dead by another request"
     finally:
         release(path, session.tokens)
-        if end is RunEnd.LOST:
-            reached = _reached(path, started_at)
+        if result is AttemptResult.LOST:
+            reached = _reached_engines(path, started_at)
             record_crash(state, permit, request, session.trace, reached, started_at)
-        _note_end(state, permit, request, session, path, end, detail)
-    return end
+        _record_result(state, permit, request, session, path, result, detail)
+    return result
 
 
-def _reached(path: ChosenPath, started_at: float) -> list[ForwardedUpstream]:
+def _reached_engines(path: ChosenPath, started_at: float) -> list[ForwardedUpstream]:
     """Return the engines of a run that lived when it came to them.
 
     The first one took the request. A later one may have ended before without this box knowing,
@@ -101,7 +103,7 @@
     return [path.head, *later]
 
 
-def _note_crossings(
+def _record_hops(
     state: GatewayState, permit: Permit, session: StreamSession, path: ChosenPath
 ) -> None:
     """Count what a run sends over links between failure domains."""
@@ -113,12 +115,12 @@
 
 
 @contextmanager
-def _told_of_losses(
+def _cancel_on_loss(
     path: ChosenPath, session: StreamSession, scope: anyio.CancelScope
 ) -> Iterator[None]:
     """Cancel the block if any request finds an engine of the path dead."""
 
-    def lost(engine: ForwardedUpstream) -> None:
+    def handle_loss(engine: ForwardedUpstream) -> None:
         session.dead.add(engine.registration.instance)
         session.interrupted = True
         if not session.emitting:
@@ -126,21 +128,21 @@
             scope.cancel()
 
     for engine in path.engines:
-        engine.on_lost.add(lost)
+        engine.on_lost.add(handle_loss)
     try:
         yield
     finally:
         for engine in path.engines:
-            engine.on_lost.discard(lost)
+            engine.on_lost.discard(handle_loss)
 
 
-def _note_end(
+def _record_result(
     state: GatewayState,
     permit: Permit,
     request: HttpRequest,
     session: StreamSession,
     path: ChosenPath,
-    end: RunEnd,
+    result: AttemptResult,
     detail: str,
 ) -> None:
     """Count a run's end, take back what does not count as a run, and log all but whole ones.
@@ -148,49 +150,49 @@
     A run that is cancelled because the caller left or its time is over is logged as lost, without
     a detail.
     """
-    state.metrics.counters[f"run-{end.value}"] += 1
-    if end is RunEnd.COMPLETE:
+    state.metrics.counters[f"run-{result.value}"] += 1
+    if result is AttemptResult.COMPLETE:
         for engine in path.engines:
             note_served(engine)
         return
-    if end is RunEnd.REFUSED:
-        session.runs -= 1
+    if result is AttemptResult.REFUSED:
+        session.attempts -= 1
         session.refusals += 1
-    elif end is RunEnd.NOT_SENT:
+    elif result is AttemptResult.NOT_SENT:
         session.sent -= 1
-        session.runs -= 1
+        session.attempts -= 1
         session.excluded.add(path.head.registration.instance)
     elif path.head.registration.instance in session.dead:
         # Upstreams that ended meanwhile do not count towards the most attempts.
-        session.runs -= 1
+        session.attempts -= 1
     logger.warning(
         "run ended early",
         extra={
             "request": permit.facts.attempt_id,
             "content": content_fingerprint(session.trace, request, permit).hex(),
-            "end": end.value,
+            "end": result.value,
             "detail": detail,
-            "path": _describe(path),
+            "path": _describe_path(path),
             "events": session.order.delivered,
             "dead": sorted(session.dead),
-            "silent_for": round(anyio.current_time() - session.moved_at, 3),
+            "silent_for": round(anyio.current_time() - session.last_progress_at, 3),
         },
     )
 
 
-def _describe(path: ChosenPath) -> list[str]:
+def _describe_path(path: ChosenPath) -> list[str]:
     """Return the engines of a path with their layers, for logs."""
     return [f"{part.instance}={part.first}-{part.end}" for part in path.parts]
 
 
-async def _follow(
+async def _send_and_forward(
     state: GatewayState,
     permit: Permit,
     request: HttpRequest,
     exchange: Exchange,
     session: StreamSession,
     path: ChosenPath,
-) -> tuple[RunEnd, str]:
+) -> tuple[AttemptResult, str]:
     """Send the request and pass events on.
 
     Returns:
@@ -214,30 +216,30 @@
             report_lost(state, path.head, session.dead)
         else:
             note_failed(path.head, anyio.current_time())
-        _doubt(state, session, path.head)
-        return RunEnd.NOT_SENT, str(error)
-    except WithheldError as error:
-        return RunEnd.NOT_SENT, str(error)
+        _suspect_domain(state, session, path.head)
+        return AttemptResult.NOT_SENT, str(error)
+    except BackpressureError as error:
+        return AttemptResult.NOT_SENT, str(error)
     except AnswerLostError as error:
-        await _blame(state, session, path)
-        return RunEnd.LOST, str(error)
+        await _identify_failed_engines(state, session, path)
+        return AttemptResult.LOST, str(error)
     if not answer.succeeded or not answer.facts.signed:
-        return await _take_refusal(state, session, path, answer)
+        return await _handle_error_answer(state, session, path, answer)
     try:
-        return await pass_events(state, exchange, session, path, answer, started_at)
+        return await forward_events(state, exchange, session, path, answer, started_at)
     except (AnswerBrokenError, AnswerLostError, ValueError) as error:
         # ValueError: an event that never ends.
-        await _blame(state, session, path)
-        return RunEnd.LOST, str(error)
+        await _identify_failed_engines(state, session, path)
+        return AttemptResult.LOST, str(error)
     finally:
         # Not kept for the next stream: once an engine is lost, a connection to it that is refused
         # costs nothing, and a kept one that is reset costs a run.
         await answer.connection.close()
 
 
-async def _take_refusal(
+async def _handle_error_answer(
     state: GatewayState, session: StreamSession, path: ChosenPath, answer: OpenAnswer
-) -> tuple[RunEnd, str]:
+) -> tuple[AttemptResult, str]:
     """Take in an answer that is no stream, or that does not carry the id of the request.
 
     Returns:
@@ -245,26 +247,26 @@
     """
     status = answer.head.status_code
     try:
-        body = await read_whole(state, answer)
+        body = await read_body(state, answer)
     except AnswerLostError as error:
-        return RunEnd.LOST, str(error)
+        return AttemptResult.LOST, str(error)
     if answer.facts.not_run:
         culprit = answer.facts.culprit
         at_fault = [item for item in path.engines if item.registration.address == culprit] or [
             path.head
         ]
         for engine in at_fault:
-            await _judge_refusal(state, session, path, engine)
-        return RunEnd.REFUSED, f"status {status} at {at_fault[0].registration.instance}"
+            await _evaluate_refusal(state, session, path, engine)
+        return AttemptResult.REFUSED, f"status {status} at {at_fault[0].registration.instance}"
     if not answer.facts.signed:
-        return RunEnd.LOST, f"unsigned answer with status {status}"
+        return AttemptResult.LOST, f"unsigned answer with status {status}"
     note_failed(path.head, anyio.current_time())
     session.excluded.add(path.head.registration.instance)
     session.failure, session.failure_body = answer, body
-    return RunEnd.LOST, f"status {status}"
+    return AttemptResult.LOST, f"status {status}"
 
 
-async def _judge_refusal(
+async def _evaluate_refusal(
     state: GatewayState, session: StreamSession, path: ChosenPath, engine: ForwardedUpstream
 ) -> None:
     """Take in that a run was refused on account of one engine.
@@ -274,15 +276,15 @@
     second for as long as it is registered. A connection tells the two apart in a round trip.
     """
     session.excluded.add(engine.registration.instance)
-    _doubt(state, session, engine)
-    if engine is not path.head and await find_lost(
-        state, [engine], session.dead, proof_seconds=FULL_SECONDS
+    _suspect_domain(state, session, engine)
+    if engine is not path.head and await find_unreachable(
+        state, [engine], session.dead, liveness_seconds=FULL_SECONDS
     ):
         return
     note_full(engine, anyio.current_time())
 
 
-def _doubt(state: GatewayState, session: StreamSession, engine: ForwardedUpstream) -> None:
+def _suspect_domain(state: GatewayState, session: StreamSession, engine: ForwardedUpstream) -> None:
     """Hold a failure against the failure domain of an engine if it is not the own one."""
     domain = engine.registration.failure_domain
     if domain != state.settings.box.failure_domain:
@@ -290,10 +292,12 @@
         doubt_domain(state.suspected_domains, engine, anyio.current_time())
 
 
-async def _blame(state: GatewayState, session: StreamSession, path: ChosenPath) -> None:
+async def _identify_failed_engines(
+    state: GatewayState, session: StreamSession, path: ChosenPath
+) -> None:
     """Find out which engines of a broken run are dead, and avoid those."""
     head = path.head.registration.instance
-    if await find_lost(state, path.engines, session.dead) or head in session.dead:
+    if await find_unreachable(state, path.engines, session.dead) or head in session.dead:
         return
-    if not await find_ended(state, path.head, session.dead):
+    if not await check_exited(state, path.head, session.dead):
         session.excluded.add(head)
--- a/src/ledgeladder/daemons/gateway/stream_events.py
+++ b/src/ledgeladder/daemons/gateway/stream_events.py
@@ -9,9 +9,9 @@
 from ...platform.exchange import caller_headers
 from ...routing.event_stream import EventBuffer, take_events
 from ...routing.pace import note_gap
-from .silence import read_watched
+from .stall_watch import read_watched
 from .state import record_duration
-from .stream_session import RunEnd
+from .stream_session import AttemptResult
 from .upstream_call import AnswerLostError
 
 if TYPE_CHECKING:
@@ -22,14 +22,14 @@
     from .upstream_call import OpenAnswer
 
 
-async def pass_events(
+async def forward_events(
     state: GatewayState,
     exchange: Exchange,
     session: StreamSession,
     path: ChosenPath,
     answer: OpenAnswer,
     started_at: float,
-) -> tuple[RunEnd, str]:
+) -> tuple[AttemptResult, str]:
     """Pass whole events on until the answer ends; those that the caller has are left out.
 
     Args:
@@ -53,24 +53,24 @@
         part = await read_watched(state, session, path, answer)
         # A read that was done already returns although the run is cancelled; the cancellation would
         # then cut the write, and the next run would start after events that were never written.
-        _end_if_interrupted(session)
+        _raise_if_interrupted(session)
         if part is None:
             if buffer.pending:
-                return RunEnd.LOST, "the stream ended within an event"
-            await _finish_events(exchange, session, answer)
-            return RunEnd.COMPLETE, ""
+                return AttemptResult.LOST, "the stream ended within an event"
+            await _finish_answer(exchange, session, answer)
+            return AttemptResult.COMPLETE, ""
         accepted, fault = take_events(session.order, buffer.feed(part))
         if accepted:
-            _note_events(state, session, path, started_at)
+            _record_events(state, session, path, started_at)
             session.emitting = True
             await _emit(exchange, session, answer, b"".join(accepted))
             session.emitting = False
-            _end_if_interrupted(session)
+            _raise_if_interrupted(session)
         if fault:
-            return RunEnd.LOST, fault
+            return AttemptResult.LOST, fault
 
 
-def _end_if_interrupted(session: StreamSession) -> None:
+def _raise_if_interrupted(session: StreamSession) -> None:
     """Raise an error if an engine of the run was found dead.
 
     Raises:
@@ -80,14 +80,14 @@
         raise AnswerLostError("an engine of the path was found dead by another request")
 
 
-def _note_events(
+def _record_events(
     state: GatewayState, session: StreamSession, path: ChosenPath, started_at: float
 ) -> None:
     """Take the times of new events, and note that the engines of the path work."""
     now = anyio.current_time()
     for engine in path.engines:
         engine.proven_at = now
-    gap = now - session.moved_at
+    gap = now - session.last_progress_at
     if not session.started:
         record_duration(state.metrics.first_event, gap)
         session.trace.first_event = gap
@@ -96,7 +96,7 @@
         record_duration(state.metrics.gap, gap)
         session.trace.longest_gap = max(session.trace.longest_gap, gap)
         note_gap(session.pace, gap)
-    session.moved_at = now
+    session.last_progress_at = now
 
 
 async def _emit(
@@ -111,7 +111,7 @@
     await exchange.begin(answer.head.status_code, headers, data)
 
 
-async def _finish_events(exchange: Exchange, session: StreamSession, answer: OpenAnswer) -> None:
+async def _finish_answer(exchange: Exchange, session: StreamSession, answer: OpenAnswer) -> None:
     """End the answer to the caller; the head comes first if there was no event."""
     if not session.started:
         await _emit(exchange, session, answer, b"")
--- a/src/ledgeladder/daemons/gateway/stream_paths.py
+++ b/src/ledgeladder/daemons/gateway/stream_paths.py
@@ -22,18 +22,18 @@
     from .state import GatewayState
     from .stream_session import StreamSession
 
-ANSWER_SHARE: Final = 0.5
+EXPECTED_ANSWER_SHARE: Final = 0.5
 """Part of the most tokens of an answer that is expected where nothing better is known."""
 
 
-def expected_answer(permit: Permit, profile: EngineProfile) -> int:
+def expected_answer_tokens(permit: Permit, profile: EngineProfile) -> int:
     """Return how many tokens an answer is likely to have."""
-    most = permit.facts.answer_tokens
-    usual = int(profile.usual_answer) or int(most * ANSWER_SHARE)
-    return max(1, min(most, usual) if most else usual)
+    max_tokens = permit.facts.answer_tokens
+    typical = int(profile.usual_answer) or int(max_tokens * EXPECTED_ANSWER_SHARE)
+    return max(1, min(max_tokens, typical) if max_tokens else typical)
 
 
-def choose_run_path(
+def choose_attempt_path(
     state: GatewayState,
     permit: Permit,
     profile: EngineProfile,
@@ -56,26 +56,26 @@
         The path, or None if no engines that may be used cover all layers.
     """
     request_grants(state, permit.pool.name)
-    wanted = _wanted(state, permit, session, expected)
+    request = _path_request(state, permit, session, expected)
     engines = state.table.pools.get(permit.pool.name, [])
     now = anyio.current_time()
     excluded = session.excluded | session.dead
-    near = [item for item in engines if not _is_avoided(state, session, item, now)]
-    path = choose_path(profile, near, wanted, now, excluded=excluded, rng=state.rng)
+    preferred = [item for item in engines if not _is_avoided(state, session, item, now)]
+    path = choose_path(profile, preferred, request, now, excluded=excluded, rng=state.rng)
     if path is None:
-        path = choose_path(profile, engines, wanted, now, excluded=excluded, rng=state.rng)
+        path = choose_path(profile, engines, request, now, excluded=excluded, rng=state.rng)
     if path is None and excluded != session.dead:
-        path = choose_path(profile, engines, wanted, now, excluded=session.dead, rng=state.rng)
+        path = choose_path(profile, engines, request, now, excluded=session.dead, rng=state.rng)
     if path is None:
-        wanted = msgspec.structs.replace(wanted, full_at=OVERFULL_AT)
-        path = choose_path(profile, engines, wanted, now, excluded=excluded, rng=state.rng)
+        request = msgspec.structs.replace(request, full_at=OVERFULL_AT)
+        path = choose_path(profile, engines, request, now, excluded=excluded, rng=state.rng)
     return path
 
 
-def _wanted(
+def _path_request(
     state: GatewayState, permit: Permit, session: StreamSession, expected: int
 ) -> PathRequest:
-    """Return what a path is wanted for.
+    """Return the request for a path.
 
     Of the entry boxes, those of this failure domain are taken to use the same engines, and all of
     them the same links.
@@ -87,8 +87,8 @@
         failure_domain=state.settings.box.failure_domain,
         link_penalties=link_penalties(state.suspected_links, now),
         link_use=link_use(state.link_load, state.entry_count, now),
-        passed=session.passed,
-        stalled_after=session.patience.gap_look if session.dead else math.inf,
+        passed=session.tried,
+        stalled_after=session.timeouts.gap_look if session.dead else math.inf,
         link_limit=RESUME_LIMIT if session.started else FIRST_LIMIT,
         sharers=max(1.0, state.entry_count / _domain_count(state, permit)),
     )
@@ -101,11 +101,11 @@
     session: StreamSession,
     expected: int,
 ) -> MissingPath:
-    """Say why `choose_run_path` found none, for logs and the answer."""
+    """Say why `choose_attempt_path` found none, for logs and the answer."""
     return explain_no_path(
         profile,
         state.table.pools.get(permit.pool.name, []),
-        _wanted(state, permit, session, expected),
+        _path_request(state, permit, session, expected),
         anyio.current_time(),
         excluded=session.excluded | session.dead,
     )
--- a/src/ledgeladder/daemons/gateway/stream_session.py
+++ b/src/ledgeladder/daemons/gateway/stream_session.py
@@ -17,7 +17,7 @@
     from .upstream_call import OpenAnswer
 
 
-class RunEnd(StrEnum):
+class AttemptResult(StrEnum):
     """How one run of a stream ended."""
 
     COMPLETE = "complete"
@@ -40,7 +40,7 @@
     order: EventOrder
     """Which events the caller has."""
 
-    patience: StreamPatience
+    timeouts: StreamPatience
     """How long its silence is borne."""
 
     tokens: int
@@ -57,13 +57,13 @@
     dead: set[str] = msgspec.field(default_factory=set)
     """Runs of engines that were found dead while they carried this request; never used again."""
 
-    passed: set[str] = msgspec.field(default_factory=set)
+    tried: set[str] = msgspec.field(default_factory=set)
     """Runs of engines on the paths that it was sent over."""
 
     sent: int = 0
     """Times it was sent, refused ones included."""
 
-    runs: int = 0
+    attempts: int = 0
     """Runs that count towards the most attempts: those on first engines that are not dead."""
 
     refusals: int = 0
@@ -87,7 +87,7 @@
     pace: Pace = msgspec.field(default_factory=Pace)
     """Gaps between events, in seconds; its floor is the shortest gap of `patience`."""
 
-    moved_at: float = 0.0
+    last_progress_at: float = 0.0
     """When the newest event was passed on, or when the request arrived, on the monotonic clock."""
 
     emitting: bool = False
@@ -97,4 +97,4 @@
     """True if an engine of the current run was found dead; it passes on nothing more."""
 
     def __post_init__(self) -> None:
-        self.pace = Pace(floor=self.patience.gap_look)
+        self.pace = Pace(floor=self.timeouts.gap_look)
--- a/src/ledgeladder/daemons/gateway/upstream_call.py
+++ b/src/ledgeladder/daemons/gateway/upstream_call.py
@@ -36,7 +36,7 @@
 """How long a connection may take: a hundred round trips inside a region. An upstream that does
 not accept by then is full or lost, and nothing was sent to it."""
 
-FAILED_STATUS: Final = 500
+MIN_FAILURE_STATUS: Final = 500
 """Least status that counts as a failure of the upstream."""
 
 
@@ -49,7 +49,7 @@
         return isinstance(self.__cause__, ConnectError) and self.__cause__.is_refusal
 
 
-class WithheldError(Exception):
+class BackpressureError(Exception):
     """An upstream wants nothing more since it was chosen; nothing was sent.
 
     It has asked for rest, leaves, or has a limit that leaves nothing to this box.
@@ -86,7 +86,7 @@
     upstream: ForwardedUpstream,
     *,
     fresh_connection: bool,
-    later: Sequence[ForwardedUpstream] = (),
+    later_engines: Sequence[ForwardedUpstream] = (),
 ) -> OpenAnswer:
     """Send a request to an upstream and wait for the head of its answer.
 
@@ -98,7 +98,7 @@
         upstream: Where to send it.
         fresh_connection: True if a connection that was used before must not carry it: its loss
             could not be told from the loss of the answer.
-        later: Engines that the request passes after the upstream.
+        later_engines: Engines that the request passes after the upstream.
 
     Returns:
         The answer, of which only the head was read. The caller closes or gives back its
@@ -106,18 +106,18 @@
 
     Raises:
         NotSentError: If nothing was sent.
-        WithheldError: If the upstream wants it no more, which others' answers may say while a
+        BackpressureError: If the upstream wants it no more, which others' answers may say while a
             connection comes up, or others took what it was lent.
         AnswerLostError: If the request may have run and no answer that belongs to it came.
     """
-    connection = await _connection(state, upstream, fresh_connection=fresh_connection)
+    connection = await _get_connection(state, upstream, fresh_connection=fresh_connection)
     sent_at = anyio.current_time()
-    passed = (upstream, *later)
-    reason = _why_withheld(passed, sent_at)
+    targets = (upstream, *later_engines)
+    reason = _backpressure_reason(targets, sent_at)
     if reason:
         await connection.close()
-        raise WithheldError(reason)
-    take_grants([item.limit for item in passed], sent_at)
+        raise BackpressureError(reason)
+    take_grants([item.limit for item in targets], sent_at)
     hide_key = state.index.needs_keys
     headers = dispatch_headers(request, dispatch, hide_key=hide_key)
     try:
@@ -137,9 +137,9 @@
     return OpenAnswer(connection=connection, head=head, facts=facts)
 
 
-def _why_withheld(passed: Iterable[ForwardedUpstream], now: float) -> str:
+def _backpressure_reason(targets: Iterable[ForwardedUpstream], now: float) -> str:
     """Return why a request must not be sent after all; empty if it may be."""
-    for item in passed:
+    for item in targets:
         if takes_work(item, now):
             continue
         instance = item.registration.instance
@@ -149,7 +149,7 @@
     return ""
 
 
-async def _connection(
+async def _get_connection(
     state: GatewayState, upstream: ForwardedUpstream, *, fresh_connection: bool
 ) -> UpstreamConnection:
     address = upstream.registration.address
@@ -163,7 +163,7 @@
         raise NotSentError(str(error)) from error
 
 
-async def read_whole(state: GatewayState, answer: OpenAnswer) -> bytes:
+async def read_body(state: GatewayState, answer: OpenAnswer) -> bytes:
     """Read the body of an answer to its end and give the connection back.
 
     Raises:
--- a/tests/daemons/gateway/test_backpressure.py
+++ b/tests/daemons/gateway/test_backpressure.py
@@ -15,7 +15,7 @@
     record_backoff,
 )
 from ledgeladder.daemons.gateway.state import GatewayState
-from ledgeladder.daemons.gateway.upstream_call import WithheldError, open_answer
+from ledgeladder.daemons.gateway.upstream_call import BackpressureError, open_answer
 from ledgeladder.model.exchange import AnswerFacts
 from ledgeladder.platform.exchange import read_answer_facts
 from ledgeladder.routing.forwarding_table import ForwardedUpstream, is_resting
@@ -97,9 +97,9 @@
             handle_backpressure(state, PERMIT, head, facts(503, **said), 0.0)
             return Connection()
 
-        monkeypatch.setattr(upstream_call, "_connection", connect_late)
+        monkeypatch.setattr(upstream_call, "_get_connection", connect_late)
         request: Any = None
-        with pytest.raises(WithheldError):
+        with pytest.raises(BackpressureError):
             await open_answer(state, PERMIT, request, request, head, fresh_connection=False)
 
     anyio.run(play)
--- a/tests/daemons/gateway/test_following.py
+++ b/tests/daemons/gateway/test_control_link.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from ledgeladder.daemons.gateway import following
+from ledgeladder.daemons.gateway import control_link
 from ledgeladder.links.messages import LoadReport
 from ledgeladder.model.registration import Liveness, Registration
 
@@ -32,7 +32,7 @@
     state.table.upstreams["i-1"] = held
     state.peers = SimpleNamespace(known={"10.0.0.1": 0.0})  # type: ignore[assignment]
     monkeypatch.setattr(
-        following, "primary_of", lambda _peers: "10.0.0.1" if is_primary else "10.0.0.2"
+        control_link, "primary_of", lambda _peers: "10.0.0.1" if is_primary else "10.0.0.2"
     )
     rounds = 0
 
@@ -43,12 +43,12 @@
         if rounds == ROUNDS:
             raise TimeoutError
 
-    monkeypatch.setattr(following.anyio, "sleep", sleep)
+    monkeypatch.setattr(control_link.anyio, "sleep", sleep)
 
     async def run() -> None:
         link = SimpleNamespace(post=posted.append)
         with pytest.raises(TimeoutError):
-            await following._keep_reporting(state, "10.0.0.1", link)  # type: ignore[arg-type]
+            await control_link._report_load(state, "10.0.0.1", link)  # type: ignore[arg-type]
 
     anyio.run(run)
     if not is_primary:
@@ -79,18 +79,18 @@
     async def play() -> None:
         state = gateway_state()
         cut: list[str] = []
-        following.take_news(state, (said(1000, sequence=40),))
+        control_link.apply_registrations(state, (said(1000, sequence=40),))
         before = state.table.upstreams["i-1#1000"]
         before.in_flight = 7
         before.on_lost.add(lambda engine: cut.append(engine.registration.instance))
-        following.take_news(state, (said(2000),))
+        control_link.apply_registrations(state, (said(2000),))
         assert cut == ["i-1#1000"]
         assert before.ended_at > 0.0
         (held,) = state.table.pools["p"]
         assert held.registration.instance == "i-1#2000"
         assert held.in_flight == 0
         # A late word of the run before, in the table of another control box for example.
-        following.take_news(state, (said(1000, sequence=41),))
+        control_link.apply_registrations(state, (said(1000, sequence=41),))
         assert list(state.table.upstreams) == ["i-1#2000"]
 
     anyio.run(play)
--- a/tests/daemons/gateway/test_plain.py
+++ b/tests/daemons/gateway/test_plain.py
@@ -92,7 +92,7 @@
         answered.append(status)
 
     monkeypatch.setattr(plain, "open_answer", open_late)
-    monkeypatch.setattr(plain, "read_whole", read_nothing)
+    monkeypatch.setattr(plain, "read_body", read_nothing)
 
     async def play() -> int:
         state = gateway_state()
--- a/tests/daemons/gateway/test_probing.py
+++ b/tests/daemons/gateway/test_probing.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ledgeladder.daemons.gateway import probing
-from ledgeladder.daemons.gateway.probing import find_lost
+from ledgeladder.daemons.gateway.probing import find_unreachable
 from ledgeladder.http1 import ConnectError
 
 from .builders import engine, gateway_state, path_over
@@ -21,7 +21,7 @@
 
 def test_refused_connection_is_evidence_however_late(monkeypatch: pytest.MonkeyPatch) -> None:
     async def connect(address: str, *, source: str | None, seconds: float) -> Connected:
-        time.sleep(seconds + probing.LATE_SECONDS * 2)
+        time.sleep(seconds + probing.LATE_TIMER_SECONDS * 2)
         raise ConnectError(f"{address}: OSError") from OSError()
 
     monkeypatch.setattr(probing, "connect", connect)
@@ -29,7 +29,7 @@
     path = path_over(engine())
 
     async def run() -> bool:
-        return await find_lost(state, path.engines, set())
+        return await find_unreachable(state, path.engines, set())
 
     assert anyio.run(run)
 
@@ -50,7 +50,7 @@
             with anyio.fail_after(seconds):
                 if held_up:
                     # The whole process stands still, as on a machine that is frozen for a moment.
-                    time.sleep(seconds + probing.LATE_SECONDS * 2)
+                    time.sleep(seconds + probing.LATE_TIMER_SECONDS * 2)
                 await anyio.sleep_forever()
         except TimeoutError as error:
             raise ConnectError(f"{address}: TimeoutError") from error
@@ -62,7 +62,7 @@
     dead: set[str] = set()
 
     async def run() -> bool:
-        return await find_lost(state, path.engines, dead)
+        return await find_unreachable(state, path.engines, dead)
 
     assert anyio.run(run) is is_lost
     assert dead == ({"i-1"} if is_lost else set())
@@ -85,7 +85,7 @@
     path = path_over(engine())
 
     async def run() -> bool:
-        return await find_lost(state, path.engines, set())
+        return await find_unreachable(state, path.engines, set())
 
     assert not anyio.run(run)
     assert tries == 2
@@ -108,8 +108,8 @@
 
     async def run() -> bool:
         working.proven_at = anyio.current_time()
-        silent.proven_at = working.proven_at - probing.PROOF_SECONDS * 2
-        return await find_lost(state, path.engines, dead)
+        silent.proven_at = working.proven_at - probing.LIVENESS_SECONDS * 2
+        return await find_unreachable(state, path.engines, dead)
 
     assert anyio.run(run)
     assert probed == ["127.0.0.1:2"]
--- a/tests/daemons/gateway/test_probing_sockets.py
+++ b/tests/daemons/gateway/test_probing_sockets.py
@@ -8,7 +8,7 @@
 import pytest
 from anyio.abc import SocketAttribute
 
-from ledgeladder.daemons.gateway.probing import find_lost, probe_seconds
+from ledgeladder.daemons.gateway.probing import find_unreachable, probe_timeout
 
 from .builders import engine, gateway_state, path_over
 
@@ -27,10 +27,10 @@
 
             async def stand_still() -> None:
                 await anyio.sleep(0)
-                time.sleep(probe_seconds(gateway_state(), "p") * factor)
+                time.sleep(probe_timeout(gateway_state(), "p") * factor)
 
             tasks.start_soon(stand_still)
-            lost = await find_lost(gateway_state(), path.engines, set())
+            lost = await find_unreachable(gateway_state(), path.engines, set())
             tasks.cancel_scope.cancel()
         await listener.aclose()
         return lost
--- a/tests/daemons/gateway/test_rate_limits.py
+++ b/tests/daemons/gateway/test_rate_limits.py
@@ -13,7 +13,7 @@
 from ledgeladder.daemons.gateway import upstream_call
 from ledgeladder.daemons.gateway.backpressure import handle_backpressure, request_grants
 from ledgeladder.daemons.gateway.state import GatewayState, limit_keeper_of
-from ledgeladder.daemons.gateway.upstream_call import WithheldError, open_answer
+from ledgeladder.daemons.gateway.upstream_call import BackpressureError, open_answer
 from ledgeladder.daemons.limit_keeper import keep_limits, take_grant_reply, take_limits
 from ledgeladder.links.frames import LENGTH, decode_payload
 from ledgeladder.links.messages import Grant, GrantReply, GrantRequest, RateLimitNews
@@ -231,11 +231,17 @@
             answer(state, first if position == "first" else later, 0.0, server_limit="2")
             return Connection()
 
-        monkeypatch.setattr(upstream_call, "_connection", connect_late)
+        monkeypatch.setattr(upstream_call, "_get_connection", connect_late)
         request: Any = None
-        with pytest.raises(WithheldError):
+        with pytest.raises(BackpressureError):
             await open_answer(
-                state, request, request, request, first, fresh_connection=False, later=[later]
+                state,
+                request,
+                request,
+                request,
+                first,
+                fresh_connection=False,
+                later_engines=[later],
             )
 
     anyio.run(play)
--- a/tests/daemons/gateway/test_come_back.py
+++ b/tests/daemons/gateway/test_retry_after.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from ledgeladder.daemons.gateway.come_back import (
-    LEAST_SECONDS,
-    when_there_is_a_path,
-    when_there_is_room,
+from ledgeladder.daemons.gateway.retry_after import (
+    MIN_RETRY_SECONDS,
+    retry_after_full,
+    retry_after_no_path,
 )
 from ledgeladder.model.registration import Holding
 from ledgeladder.routing.pace import Pace
@@ -34,13 +34,13 @@
 
 
 def test_room_is_there_when_half_of_the_streams_have_ended() -> None:
-    assert when_there_is_room(state(1.6, 8)) == pytest.approx(0.8)
-    assert when_there_is_a_path(state(1.6, 8), PERMIT, FULL) == pytest.approx(0.8)
+    assert retry_after_full(state(1.6, 8)) == pytest.approx(0.8)
+    assert retry_after_no_path(state(1.6, 8), PERMIT, FULL) == pytest.approx(0.8)
 
 
 def test_lost_layers_are_back_after_a_load() -> None:
-    assert when_there_is_a_path(state(0.5, 8), PERMIT, LOST) == pytest.approx(14.0 * 8 / 80)
+    assert retry_after_no_path(state(0.5, 8), PERMIT, LOST) == pytest.approx(14.0 * 8 / 80)
 
 
 def test_time_is_never_so_short_that_callers_come_back_in_a_loop() -> None:
-    assert when_there_is_room(state(0.0, 8)) == LEAST_SECONDS
+    assert retry_after_full(state(0.0, 8)) == MIN_RETRY_SECONDS
--- a/tests/daemons/gateway/test_asking.py
+++ b/tests/daemons/gateway/test_slowdown_queries.py
@@ -6,8 +6,8 @@
 import pytest
 from anyio.abc import SocketAttribute, SocketStream
 
-from ledgeladder.daemons.gateway import asking
-from ledgeladder.daemons.gateway.asking import ask_slowdowns
+from ledgeladder.daemons.gateway import slowdown_queries
+from ledgeladder.daemons.gateway.slowdown_queries import query_slowdowns
 from ledgeladder.routing.forwarding_table import slow_factor
 
 from .builders import engine, gateway_state, path_over
@@ -38,7 +38,7 @@
             tasks.start_soon(listener.serve, serve)
             state, path = gateway_state(), path_over(asked_engine)
             for _ in range(times):
-                await ask_slowdowns(state, path)
+                await query_slowdowns(state, path)
             factor = slow_factor(asked_engine, anyio.current_time())
             tasks.cancel_scope.cancel()
 
@@ -53,7 +53,7 @@
 @pytest.fixture(autouse=True)
 def patient(monkeypatch: pytest.MonkeyPatch) -> None:
     """Beside a load an answer may take longer than a stream would wait for it."""
-    monkeypatch.setattr(asking, "ASK_SECONDS", 5.0)
+    monkeypatch.setattr(slowdown_queries, "QUERY_TIMEOUT_SECONDS", 5.0)
 
 
 def test_slow_engine_says_so() -> None:
@@ -74,5 +74,5 @@
 def test_engine_that_does_not_tell_in_time_counts_as_working_as_usual(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(asking, "ASK_SECONDS", 0.05)
+    monkeypatch.setattr(slowdown_queries, "QUERY_TIMEOUT_SECONDS", 0.05)
     assert asked(None)[1] == 1.0
--- a/tests/daemons/gateway/test_stream_run.py
+++ b/tests/daemons/gateway/test_stream_attempt.py
@@ -12,11 +12,11 @@
 
 from ledgeladder.daemons.gateway import probing, stream_events
 from ledgeladder.daemons.gateway.probing import report_lost
-from ledgeladder.daemons.gateway.stream_run import (
-    _blame,
-    _judge_refusal,
-    _reached,
-    _told_of_losses,
+from ledgeladder.daemons.gateway.stream_attempt import (
+    _cancel_on_loss,
+    _evaluate_refusal,
+    _identify_failed_engines,
+    _reached_engines,
 )
 from ledgeladder.daemons.gateway.stream_session import StreamSession
 from ledgeladder.daemons.gateway.upstream_call import AnswerLostError, NotSentError
@@ -29,7 +29,7 @@
 
 from .builders import engine, gateway_state, path_over
 
-PATIENCE = stream_patience(
+TIMEOUTS = stream_patience(
     target_latency=0.5, gap_target=0.2, probe_seconds=0.04, first_seconds=0.1
 )
 
@@ -37,7 +37,7 @@
 def interrupted(*, emitting: bool) -> tuple[bool, StreamSession]:
     """Report an engine dead in the middle of a run; tells whether the run went on."""
     session = StreamSession(
-        order=EventOrder(last_id=None), patience=PATIENCE, tokens=10, emitting=emitting
+        order=EventOrder(last_id=None), timeouts=TIMEOUTS, tokens=10, emitting=emitting
     )
     lost = engine()
     path = path_over(lost)
@@ -45,7 +45,7 @@
 
     async def run() -> None:
         nonlocal went_on
-        with anyio.CancelScope() as scope, _told_of_losses(path, session, scope):
+        with anyio.CancelScope() as scope, _cancel_on_loss(path, session, scope):
             note_lost(lost, 1.0)
             await anyio.sleep(0)
             went_on = True
@@ -85,7 +85,7 @@
 ) -> None:
     """The read may be done already when the run is cancelled: the cancellation then hits the write,
     and the next run would start after events that never reached the caller."""
-    session = StreamSession(order=EventOrder(last_id=None), patience=PATIENCE, tokens=10)
+    session = StreamSession(order=EventOrder(last_id=None), timeouts=TIMEOUTS, tokens=10)
     lost = engine()
     path = path_over(lost)
     exchange = RecordingExchange()
@@ -102,10 +102,10 @@
     async def run() -> None:
         with (
             anyio.CancelScope() as scope,
-            _told_of_losses(path, session, scope),
+            _cancel_on_loss(path, session, scope),
             contextlib.suppress(AnswerLostError),
         ):
-            await stream_events.pass_events(state, exchange, session, path, answer, 0.0)
+            await stream_events.forward_events(state, exchange, session, path, answer, 0.0)
 
     anyio.run(run)
     passed_on = exchange.received.count(b"id:")
@@ -133,12 +133,12 @@
         raise ConnectError(address) from ConnectionRefusedError()
 
     monkeypatch.setattr(probing, "connect", connect)
-    session = StreamSession(order=EventOrder(last_id=None), patience=PATIENCE, tokens=10)
+    session = StreamSession(order=EventOrder(last_id=None), timeouts=TIMEOUTS, tokens=10)
     path = path_over(engine("i-1"), engine("i-2", "127.0.0.1:2"))
     suspect = path.engines[at_fault]
 
     async def run() -> bool:
-        await _judge_refusal(gateway_state(), session, path, suspect)
+        await _evaluate_refusal(gateway_state(), session, path, suspect)
         after = anyio.current_time() + 2 * FULL_SECONDS
         return is_usable(suspect, after)
 
@@ -161,14 +161,14 @@
         raise cause
 
     monkeypatch.setattr(tcp, "connect_tcp", connect_tcp)
-    session = StreamSession(order=EventOrder(last_id=None), patience=PATIENCE, tokens=10)
+    session = StreamSession(order=EventOrder(last_id=None), timeouts=TIMEOUTS, tokens=10)
     path = path_over(engine("i-1"), engine("i-2", "127.0.0.1:2"))
 
     async def run() -> None:
         now = anyio.current_time()
         for item in path.engines:
             item.proven_at = now
-        await _blame(gateway_state(), session, path)
+        await _identify_failed_engines(gateway_state(), session, path)
         assert (path.head.ended_at >= now) is has_ended
 
     anyio.run(run)
@@ -181,7 +181,7 @@
     path = path_over(engine("i-1"), engine("i-2"), engine("i-3"))
     path.engines[1].proven_at = 4.9
     path.engines[2].proven_at = 5.1
-    reached = _reached(path, 5.0)
+    reached = _reached_engines(path, 5.0)
     assert [item.registration.instance for item in reached] == ["i-1", "i-3"]
 
 
--- a/tests/daemons/test_resting_engines.py
+++ b/tests/daemons/test_resting_engines.py
@@ -9,8 +9,8 @@
 import pytest
 
 from ledgeladder.coordination.engine_orders import OrderOutcome
-from ledgeladder.daemons.gateway import asking
-from ledgeladder.daemons.gateway.asking import ask_slowdowns
+from ledgeladder.daemons.gateway import slowdown_queries
+from ledgeladder.daemons.gateway.slowdown_queries import query_slowdowns
 from ledgeladder.daemons.registry import order_sending
 from ledgeladder.http1 import serve_http1
 from ledgeladder.model.registration import Holding, Registration
@@ -67,7 +67,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Beside a load an answer may take longer than a stream would wait for it.
-    monkeypatch.setattr(asking, "ASK_SECONDS", 5.0)
+    monkeypatch.setattr(slowdown_queries, "QUERY_TIMEOUT_SECONDS", 5.0)
     upstream = engine(tmp_path)
 
     async def play() -> None:
@@ -79,7 +79,7 @@
             asked = builders.engine(address=upstream.address)
             for _ in range(3):
                 asked.slowdown_at = float("-inf")
-                await ask_slowdowns(state, builders.path_over(asked))
+                await query_slowdowns(state, builders.path_over(asked))
             assert is_resting(asked, anyio.current_time())
             tasks.cancel_scope.cancel()
 
