--- a/src/ledgeladder/daemons/gateway/__init__.py
+++ b/src/ledgeladder/daemons/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The entry daemon that forwards HTTP to upstreams that register."""
+"""The gateway daemon, which forwards HTTP requests to registered upstreams."""
 
 from __future__ import annotations
 
--- a/src/ledgeladder/daemons/gateway/backpressure.py
+++ b/src/ledgeladder/daemons/gateway/backpressure.py
@@ -1,4 +1,4 @@
-"""Taking in what upstreams ask for in their answers: rest for a time, no new work, or a limit."""
+"""Applies back-pressure that upstreams signal in answers: back-off, draining or a rate limit."""
 
 from __future__ import annotations
 
@@ -29,20 +29,19 @@
     facts: AnswerFacts,
     sent_at: float,
 ) -> None:
-    """Take in what an upstream asks for in the head of an answer.
+    """Apply the back-pressure in the head of an upstream's answer.
 
-    Where it names a later engine as the one at fault, both are left alone: it speaks for itself,
-    and what it says came from the other.
+    If the answer attributes the back-off to a later engine of the path, both engines back off.
 
     Args:
-        state: The process's state.
-        permit: The request that was answered.
-        upstream: The upstream that answered.
-        facts: What the head says.
-        sent_at: When the request was sent, on the monotonic clock.
+        state: State of the process.
+        permit: Permit of the answered request.
+        upstream: Upstream that answered.
+        facts: Facts from the head of the answer.
+        sent_at: Monotonic time at which the request was sent.
     """
     if facts.wrong_upstream:
-        # Another run of an upstream has the address, and speaks for itself alone.
+        # Another instance has taken over the address; its signals do not apply to this one.
         return
     instance = upstream.registration.instance
     is_own = facts.signed or facts.not_run
@@ -50,7 +49,7 @@
     if facts.leaving and say_leaving(state.table.book, upstream.registration, upstream.wishes):
         state.metrics.counters["upstream-said-leaving"] += 1
         logger.info(
-            "upstream says that it leaves",
+            "upstream is draining",
             extra={
                 "request": permit.facts.attempt_id,
                 "upstream": upstream.registration.instance,
@@ -59,11 +58,11 @@
         )
     if facts.rest_seconds is None:
         return
-    asking = [upstream]
+    affected = [upstream]
     if facts.culprit:
         pool = state.table.pools.get(permit.pool.name, [])
-        asking += [item for item in pool if item.registration.address == facts.culprit]
-    for item in asking:
+        affected += [item for item in pool if item.registration.address == facts.culprit]
+    for item in affected:
         record_backoff(state, item, facts.rest_seconds, request=permit.facts.attempt_id)
 
 
@@ -74,13 +73,13 @@
     *,
     request: str = "",
 ) -> None:
-    """Leave an upstream alone for a time that it named.
+    """Apply the back-off that an upstream requested.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         upstream: The upstream.
-        seconds: How long, from now on.
-        request: Attempt that it refused; empty for a call of this box's own.
+        seconds: Duration of the back-off from now, in seconds.
+        request: Id of the refused attempt; empty for a call that this box made itself.
     """
     now = anyio.current_time()
     held = held_requests(upstream, now, state.entry_count)
@@ -91,7 +90,7 @@
     state.backoff_watch.upstreams[upstream.registration.instance] = upstream
     state.backoff_watch.changed.set()
     logger.warning(
-        "upstream asks for rest",
+        "upstream requested back-off",
         extra={
             "request": request,
             "upstream": upstream.registration.instance,
@@ -104,26 +103,26 @@
 
 
 def request_grants(state: GatewayState, pool: str) -> None:
-    """Note that a request looks for an upstream of a pool, and ask for what limited ones lack."""
+    """Record demand for a pool, and wake the limit keeper if rate grants are missing."""
     if note_wanted(limits_in(state.table, pool), anyio.current_time()):
         limit_keeper_of(state).wake.set()
 
 
 async def log_backoff_ends(state: GatewayState) -> None:
-    """Log when upstreams have rested for as long as they asked, for ever."""
-    resting = state.backoff_watch
+    """Log the end of each upstream's back-off; runs until cancelled."""
+    watch = state.backoff_watch
     while True:
         now = anyio.current_time()
-        for instance, upstream in list(resting.upstreams.items()):
+        for instance, upstream in list(watch.upstreams.items()):
             if upstream.wishes.rest_until <= now:
-                del resting.upstreams[instance]
+                del watch.upstreams[instance]
                 logger.info(
-                    "upstream has rested",
+                    "upstream back-off ended",
                     extra={"upstream": instance, "registered": instance in state.table.upstreams},
                 )
-        resting.changed = anyio.Event()
+        watch.changed = anyio.Event()
         until = min(
-            (item.wishes.rest_until for item in resting.upstreams.values()), default=float("inf")
+            (item.wishes.rest_until for item in watch.upstreams.values()), default=float("inf")
         )
         with anyio.move_on_after(until - now):
-            await resting.changed.wait()
+            await watch.changed.wait()
--- a/src/ledgeladder/daemons/gateway/crashes.py
+++ b/src/ledgeladder/daemons/gateway/crashes.py
@@ -1,4 +1,4 @@
-"""Requests of this box under which upstreams end: what is told, and what is refused."""
+"""Reports requests of this box that crash upstreams, and refuses quarantined ones."""
 
 from __future__ import annotations
 
@@ -26,30 +26,31 @@
 logger = logging.getLogger(__name__)
 
 MAX_REPORT_LINKS: Final = 2
-"""Control boxes that are told of an end, which tell the others: one of them may be lost itself."""
+"""Number of control boxes to which a crash is reported, in case one of them is lost. They inform
+the others."""
 
 
 def refuse_quarantined(
     state: GatewayState, permit: Permit, request: HttpRequest, trace: RequestTrace
 ) -> None:
-    """Refuse a request whose content is sent nowhere.
+    """Refuse a request whose content is quarantined.
 
     Raises:
-        ProblemError: If it is refused; it has not run.
+        ProblemError: If it is refused. No upstream has run it.
     """
     watch = state.quarantine
     if not watch.held_until:
         return
     content = content_fingerprint(trace, request, permit)
-    left = content_watch.seconds_held(watch, content, anyio.current_time())
-    if left > 0.0:
-        raise refusal(ResultCode.QUARANTINED, f"content {content.hex()}", left)
+    seconds_left = content_watch.seconds_held(watch, content, anyio.current_time())
+    if seconds_left > 0.0:
+        raise refusal(ResultCode.QUARANTINED, f"content {content.hex()}", seconds_left)
 
 
 def count_crashes(
     state: GatewayState, permit: Permit, request: HttpRequest, trace: RequestTrace
 ) -> int:
-    """Return how many upstreams ended under a request's content, as far as this box knows."""
+    """Return how many upstreams the request content has crashed, as far as this box knows."""
     if state.quarantine.is_calm:
         return 0
     content = content_fingerprint(trace, request, permit)
@@ -64,35 +65,35 @@
     upstreams: Iterable[ForwardedUpstream],
     started_at: float,
 ) -> None:
-    """Note that a run broke off, if the process of one of its upstreams has ended meanwhile.
+    """Record and report a crash if an upstream of a failed attempt has exited since it was sent.
 
-    One end is noted for each run, also where several upstreams of its path were lost together.
+    At most one crash is recorded for each attempt, even if several upstreams of its path were lost.
 
     Args:
-        state: The process's state.
-        permit: What the request may do.
+        state: State of the process.
+        permit: Permit of the request.
         request: The request.
-        trace: What is learnt of it.
-        upstreams: The upstreams that it was on.
-        started_at: When the run was sent, on the monotonic clock.
+        trace: Trace of the request.
+        upstreams: Upstreams that the attempt had reached.
+        started_at: Monotonic time at which the attempt was sent.
     """
-    ended = next((item for item in upstreams if item.ended_at >= started_at), None)
-    if ended is None:
+    exited = next((item for item in upstreams if item.ended_at >= started_at), None)
+    if exited is None:
         return
     content = content_fingerprint(trace, request, permit)
-    instance = ended.registration.instance
-    ends = content_watch.note_own_end(state.quarantine, content, instance, anyio.current_time())
-    if ends == 0:
+    instance = exited.registration.instance
+    crashes = content_watch.note_own_end(state.quarantine, content, instance, anyio.current_time())
+    if crashes == 0:
         return
-    _post(state, CrashReport(content=content, instance=instance))
+    _send_to_controls(state, CrashReport(content=content, instance=instance))
     state.metrics.counters["ended-under-request"] += 1
     logger.warning(
-        "upstream ended under a request",
+        "upstream exited while running a request",
         extra={
             "request": permit.facts.attempt_id,
             "content": content.hex(),
             "upstream": instance,
-            "ends": ends,
+            "ends": crashes,
         },
     )
 
@@ -100,28 +101,30 @@
 def record_answered(
     state: GatewayState, permit: Permit, request: HttpRequest, trace: RequestTrace
 ) -> None:
-    """Note that a request was answered in full."""
+    """Clear the suspicion on a request content after a complete answer, and report it."""
     if state.quarantine.is_calm:
         return
     content = content_fingerprint(trace, request, permit)
     if content_watch.note_answered(state.quarantine, content):
-        _post(state, ContentServed(content=content))
+        _send_to_controls(state, ContentServed(content=content))
 
 
-def handle_suspect_update(state: GatewayState, news: SuspectNews) -> None:
-    """Take in that several upstreams have ended under a content, at this box or others."""
-    content_watch.take_suspect(state.quarantine, news.content, news.ends, anyio.current_time())
+def handle_suspect_update(state: GatewayState, update: SuspectNews) -> None:
+    """Apply the number of crashes that a request content caused at all boxes."""
+    content_watch.take_suspect(state.quarantine, update.content, update.ends, anyio.current_time())
 
 
-def handle_quarantine_update(state: GatewayState, news: QuarantineNews) -> None:
-    """Take in which contents are sent nowhere."""
-    added = content_watch.take_held(state.quarantine, news.seconds_left, anyio.current_time())
+def handle_quarantine_update(state: GatewayState, update: QuarantineNews) -> None:
+    """Apply which request contents are quarantined."""
+    added = content_watch.take_held(state.quarantine, update.seconds_left, anyio.current_time())
     if added:
-        logger.warning("content held", extra={"contents": [content.hex() for content in added]})
+        logger.warning(
+            "request content quarantined", extra={"contents": [content.hex() for content in added]}
+        )
 
 
-def _post(state: GatewayState, message: LinkMessage) -> None:
-    """Tell the preferred control boxes."""
+def _send_to_controls(state: GatewayState, message: LinkMessage) -> None:
+    """Send a message to the preferred control boxes."""
     if state.peers is None:
         return
     linked = [address for address in state.peers.ranked if address in state.peers.links]
--- a/src/ledgeladder/daemons/gateway/loss_updates.py
+++ b/src/ledgeladder/daemons/gateway/loss_updates.py
@@ -1,4 +1,4 @@
-"""Taking in that other boxes found an engine dead."""
+"""Handles reports of other boxes that an engine is unreachable."""
 
 from __future__ import annotations
 
@@ -18,16 +18,17 @@
 
 
 def handle_loss_update(state: GatewayState, instance: str) -> ForwardedUpstream | None:
-    """Send an engine nothing new that other boxes found dead.
+    """Stop sending new work to an engine that other boxes found unreachable.
 
-    The word of others is enough for that, and no more: behind a cut they may be wrong for this box.
+    Such a report does not interrupt running streams: in a partition, this box may still reach the
+    engine.
 
     Args:
-        state: The process's state.
-        instance: Run of the engine.
+        state: State of the process.
+        instance: Instance id of the engine.
 
     Returns:
-        The engine, if streams of this box pass it that did not just make progress; else None.
+        The engine if it has streams of this box and no recent proof of liveness, else None.
     """
     engine = state.table.upstreams.get(instance)
     now = anyio.current_time()
@@ -36,14 +37,16 @@
     if not note_told_lost(engine, now):
         return None
     state.metrics.counters["engine-told-lost"] += 1
-    logger.info("engine lost elsewhere", extra={"upstream": instance, "runs": len(engine.on_lost)})
+    logger.info(
+        "engine reported unreachable", extra={"upstream": instance, "runs": len(engine.on_lost)}
+    )
     return engine if engine.on_lost else None
 
 
 async def confirm_loss(state: GatewayState, engine: ForwardedUpstream) -> None:
-    """Find out whether an engine is dead that streams of this box pass, and interrupt them if so.
+    """Probe an engine that was reported unreachable, and interrupt its streams if the probe fails.
 
-    They then go on elsewhere after a round trip, and not after a pause that is long for a stream.
+    The streams then move to another path after one round trip instead of a stall timeout.
     """
     if not await find_unreachable(state, [engine], set(), liveness_seconds=0.0):
         note_reachable(engine)
--- a/src/ledgeladder/daemons/gateway/request_trace.py
+++ b/src/ledgeladder/daemons/gateway/request_trace.py
@@ -1,4 +1,4 @@
-"""What is learnt of a request while it is forwarded, for the one log line at its end."""
+"""Facts about a request that are collected while it is forwarded, for its final log line."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 
 
 class RequestTrace(msgspec.Struct, kw_only=True):
-    """Course of one request."""
+    """How one request was handled."""
 
     first_event: float | None = None
-    """Time from the arrival of the request to its first event, in seconds; None before that."""
+    """Time from the request's arrival to its first event, in seconds; None before that."""
 
     longest_gap: float = 0.0
-    """Longest pause between events that were passed on, in seconds."""
+    """Longest interval between forwarded events, in seconds."""
 
     wait_seconds: float = 0.0
-    """How long it waited for the box to be able to serve, in seconds."""
+    """Time that it spent in queues of this box, in seconds."""
 
     attempts: int = 0
-    """Times it was sent to an upstream, refused ones included."""
+    """Number of attempts to send it to an upstream, including refused ones."""
 
     path: list[str] = msgspec.field(default_factory=list)
-    """Upstreams of the newest run; engines with their layers."""
+    """Upstreams of the latest attempt; engines with their layers."""
 
     inter_domain_hops: int | None = None
-    """Links between failure domains that the path of the newest run passes; None if it is none."""
+    """Inter-domain hops on the path of the latest attempt; None if it has no path."""
 
     give_up_reason: str = ""
-    """Why a stream was not sent once more; empty if it was whole, or if its time was over."""
+    """Why a stream was not retried; empty if it completed or its deadline passed."""
 
     fingerprint: bytes | None = None
-    """Mark of its content; None while nothing needed it."""
+    """Fingerprint of the request content; None until it is needed."""
 
 
 def content_fingerprint(trace: RequestTrace, request: HttpRequest, permit: Permit) -> bytes:
-    """Return the mark of a request's content, which is made once.
+    """Return the fingerprint of the request content, computing it on first use.
 
     Args:
-        trace: What is learnt of the request; keeps the mark.
+        trace: Trace of the request, which caches the fingerprint.
         request: The request.
-        permit: What it may do, with its client account or else its key.
+        permit: Its permit, which names the client account or the key.
     """
     if trace.fingerprint is None:
         caller = permit.account or permit.facts.key or ""
@@ -56,7 +56,7 @@
 
 
 def log_fields(trace: RequestTrace) -> dict[str, Any]:
-    """Return the fields of a log line; those that do not apply are left out.
+    """Return the fields of the log line, without those that do not apply.
 
     >>> log_fields(RequestTrace(attempts=1, path=["i-1=0-80"]))
     {'runs': 1, 'path': ['i-1=0-80']}
--- a/src/ledgeladder/daemons/gateway/retry_quota.py
+++ b/src/ledgeladder/daemons/gateway/retry_quota.py
@@ -1,4 +1,4 @@
-"""Spending repeats, and asking the control boxes for more when the own ones are spent."""
+"""Acquires retries for requests, and requests more quota from control boxes when none is left."""
 
 from __future__ import annotations
 
@@ -20,95 +20,97 @@
 logger = logging.getLogger(__name__)
 
 QUOTA_WAIT_SECONDS: Final = 0.1
-"""How long a request waits for a loan: some tens of round trips to another failure domain, and half
-of the pause that callers of a stream accept."""
+"""How long a request waits for quota: several round trips to another failure domain, and less than
+the pause that callers of a stream accept."""
 
 QUOTA_DENIED_SECONDS: Final = 0.5
-"""How long nothing is asked for after nothing was lent."""
+"""How long no quota is requested after a denial."""
 
 
 async def acquire_retry(state: GatewayState, pool: str) -> Repeat | None:
-    """Spend one repeat of a pool, if need be one that is lent.
+    """Acquire one retry for a pool, from quota granted by a control box if necessary.
 
     Args:
-        state: The process's state.
-        pool: The pool.
+        state: State of the process.
+        pool: Name of the pool.
 
     Returns:
-        The repeat; None if the request must not be sent again.
+        The retry, or None if the request must not be sent again.
     """
     budget = retry_budget(state, pool)
-    repeat = take_repeat(budget, anyio.current_time(), state.entry_count)
-    if repeat is None and await _request_quota(state, pool):
-        repeat = take_repeat(budget, anyio.current_time(), state.entry_count)
-    if repeat is None:
+    retry = take_repeat(budget, anyio.current_time(), state.entry_count)
+    if retry is None and await _request_quota(state, pool):
+        retry = take_repeat(budget, anyio.current_time(), state.entry_count)
+    if retry is None:
         state.metrics.counters["repeat-refused"] += 1
-    return repeat
+    return retry
 
 
 async def _request_quota(state: GatewayState, pool: str) -> bool:
-    """Ask for a loan together with others that need one; False if nobody lends any."""
-    loan = state.batched_quota_requests.get(pool)
-    if loan is None:
+    """Request quota, batched with other requests of the pool; return whether any was granted."""
+    pending = state.batched_quota_requests.get(pool)
+    if pending is None:
         peers, now = state.peers, anyio.current_time()
         if peers is None or now < state.quota_denied_until.get(pool, now):
             return False
-        lenders = [address for address in peers.ranked if address in peers.links]
-        loan = state.batched_quota_requests[pool] = PendingQuotaRequest(
-            pool=pool, asked_at=now, lenders=lenders
+        controls = [address for address in peers.ranked if address in peers.links]
+        pending = state.batched_quota_requests[pool] = PendingQuotaRequest(
+            pool=pool, requested_at=now, remaining_controls=controls
         )
-        loan.wanted = 1
+        pending.requested = 1
         try:
-            # Streams that are cut together come here in one turn of the loop, and ask together.
+            # Streams that lose the same engine arrive in one iteration of the event loop, and share
+            # one request.
             await anyio.sleep(0)
         finally:
-            # Also if this one's caller has left: the others wait for the answer.
+            # Runs even if this caller disconnects, because others wait for the answer.
             del state.batched_quota_requests[pool]
             _drop_unanswered(state, now)
-            _request_next(state, loan)
+            _request_next(state, pending)
     else:
-        loan.wanted += 1
-    with anyio.move_on_after(loan.asked_at + QUOTA_WAIT_SECONDS - anyio.current_time()):
-        await loan.done.wait()
-    return loan.count > 0
+        pending.requested += 1
+    with anyio.move_on_after(pending.requested_at + QUOTA_WAIT_SECONDS - anyio.current_time()):
+        await pending.done.wait()
+    return pending.granted > 0
 
 
 def _drop_unanswered(state: GatewayState, now: float) -> None:
-    """Drop questions whose answer would come too late to be spent."""
-    for call, loan in list(state.pending_quota_requests.items()):
-        if now - loan.asked_at >= LOAN_SECONDS:
+    """Drop requests whose quota would have expired when an answer arrived."""
+    for call, pending in list(state.pending_quota_requests.items()):
+        if now - pending.requested_at >= LOAN_SECONDS:
             del state.pending_quota_requests[call]
 
 
-def _request_next(state: GatewayState, loan: PendingQuotaRequest) -> None:
-    """Ask the next control box for what is lacking; end the question if there is none."""
+def _request_next(state: GatewayState, pending: PendingQuotaRequest) -> None:
+    """Request the missing quota from the next control box, or finish if none remains."""
     assert state.peers is not None
-    while loan.lenders and loan.count < loan.wanted:
-        link = state.peers.links.get(loan.lenders.pop(0))
+    while pending.remaining_controls and pending.granted < pending.requested:
+        link = state.peers.links.get(pending.remaining_controls.pop(0))
         if link is not None:
-            loan.call = state.next_quota_call
+            pending.call = state.next_quota_call
             state.next_quota_call += 1
-            state.pending_quota_requests[loan.call] = loan
-            count = min(loan.wanted - loan.count, LOAN_LIMIT)
-            link.post(LoanRequest(call=loan.call, pool=loan.pool, count=count))
+            state.pending_quota_requests[pending.call] = pending
+            count = min(pending.requested - pending.granted, LOAN_LIMIT)
+            link.post(LoanRequest(call=pending.call, pool=pending.pool, count=count))
             return
-    state.metrics.counters["repeats-borrowed"] += loan.count
+    state.metrics.counters["repeats-borrowed"] += pending.granted
     logger.info(
-        "repeats borrowed", extra={"pool": loan.pool, "count": loan.count, "wanted": loan.wanted}
+        "retry quota received",
+        extra={"pool": pending.pool, "count": pending.granted, "wanted": pending.requested},
     )
-    if loan.count == 0:
-        state.quota_denied_until[loan.pool] = anyio.current_time() + QUOTA_DENIED_SECONDS
-    loan.done.set()
+    if pending.granted == 0:
+        state.quota_denied_until[pending.pool] = anyio.current_time() + QUOTA_DENIED_SECONDS
+    pending.done.set()
 
 
 def handle_quota_reply(state: GatewayState, reply: LoanReply) -> None:
-    """Take in what a control box lends, and ask the next one for what is lacking.
+    """Add the quota that a control box granted, and request what is missing from the next one.
 
-    An answer that comes too late counts for nothing here; the lender counts it.
+    A reply that arrives too late is ignored; the control box still counts its quota as granted.
     """
-    loan = state.pending_quota_requests.pop(reply.call, None)
-    if loan is None:
+    pending = state.pending_quota_requests.pop(reply.call, None)
+    if pending is None:
         return
-    loan.count += reply.count
-    take_loan(retry_budget(state, loan.pool), reply.count, loan.asked_at + LOAN_SECONDS)
-    _request_next(state, loan)
+    pending.granted += reply.count
+    take_loan(retry_budget(state, pending.pool), reply.count, pending.requested_at + LOAN_SECONDS)
+    _request_next(state, pending)
--- a/src/ledgeladder/daemons/gateway/state.py
+++ b/src/ledgeladder/daemons/gateway/state.py
@@ -1,4 +1,4 @@
-"""What all parts of a gateway process share."""
+"""State that all parts of a gateway process share."""
 
 from __future__ import annotations
 
@@ -35,21 +35,22 @@
     from ..peers import Peers
 
 FRESHNESS_SHARE: Final = 0.85
-"""Part of the revocation bound for which a belief is used; the rest is room for the request's way
-here and on to the upstream."""
+"""Share of the revocation bound during which a confirmed document may be used. The rest covers the
+request's transit time to this box and on to the upstream."""
 
 ENTRY_COUNT_SECONDS: Final = 20.0
-"""How long a number of entry boxes counts. A control box that is cut off, or that few have reached
-yet, tells too few for some seconds; one tells too many while boxes change whom they report to."""
+"""Window over which the largest reported number of entry boxes is used. A partitioned or newly
+started control box reports too few for some seconds; others report too many while boxes change the
+control box that they report to."""
 
 MIN_MICROSECONDS: Final = 100
-"""Shortest duration that histograms tell from shorter ones."""
+"""Lower bound of the histograms' range."""
 
 MAX_MICROSECONDS: Final = 60_000_000
-"""Longest duration that histograms tell from longer ones."""
+"""Upper bound of the histograms' range."""
 
 SIGNIFICANT_DIGITS: Final = 2
-"""Decimal digits to which histograms are exact."""
+"""Precision of the histograms, in decimal digits."""
 
 
 def _histogram() -> HdrHistogram:
@@ -57,13 +58,13 @@
 
 
 class GatewayMetrics(msgspec.Struct, kw_only=True):
-    """What a gateway counts and times."""
+    """Counters and histograms of a gateway."""
 
     counters: Counter[str] = msgspec.field(default_factory=Counter)
-    """Answers by code, repeats, lost engines and the like."""
+    """Answers by code, retries, lost engines and similar events."""
 
     answer: HdrHistogram = msgspec.field(default_factory=_histogram)
-    """Time to whole answers of plain services."""
+    """Time to complete answers of plain services."""
 
     first_event: HdrHistogram = msgspec.field(default_factory=_histogram)
     """Time to the first event of streams."""
@@ -73,182 +74,182 @@
 
 
 def record_duration(histogram: HdrHistogram, seconds: float) -> None:
-    """Record a duration in seconds, cut to the histogram's range; it holds microseconds."""
+    """Record a duration given in seconds, clamped to the histogram's range in microseconds."""
     value = int(seconds * 1e6)
     histogram.record_value(min(max(value, MIN_MICROSECONDS), MAX_MICROSECONDS))
 
 
 class PendingQuotaRequest(msgspec.Struct, kw_only=True):
-    """A question for repeats that is under way."""
+    """A request for retry quota that is waiting for answers of control boxes."""
 
     pool: str
-    """Pool that they are for."""
+    """Pool whose retries are requested."""
 
-    asked_at: float
-    """When it was first asked, on the monotonic clock."""
+    requested_at: float
+    """Monotonic time of the first request."""
 
-    lenders: list[str]
-    """IP numbers of the control boxes that are to be asked yet, in this order."""
+    remaining_controls: list[str]
+    """IP addresses of the control boxes not asked yet, in the order in which they are asked."""
 
-    wanted: int = 0
-    """Repeats that are wanted."""
+    requested: int = 0
+    """Number of retries requested."""
 
     call: int = 0
-    """Number of the newest question; 0 before the first was sent."""
+    """Id of the latest request sent; 0 before the first."""
 
-    count: int = 0
-    """Repeats that were lent."""
+    granted: int = 0
+    """Number of retries granted so far."""
 
     done: anyio.Event = msgspec.field(default_factory=anyio.Event)
-    """Set once it is answered for good."""
+    """Set when no further answer will follow."""
 
 
 class AdmissionQueue(msgspec.Struct, kw_only=True):
-    """Requests that wait until they can be served."""
+    """A bounded queue of requests that wait until they can be served."""
 
     queue: WaitQueue
-    """Who waits, and who goes first."""
+    """The waiting requests and their order."""
 
-    turns: dict[int, anyio.Event] = msgspec.field(default_factory=dict)
-    """Set when a request may go on, by its ticket."""
+    admissions: dict[int, anyio.Event] = msgspec.field(default_factory=dict)
+    """Events that are set when a request is admitted, by ticket."""
 
-    filled: anyio.Event = msgspec.field(default_factory=anyio.Event)
-    """Set while somebody waits."""
+    has_waiting: anyio.Event = msgspec.field(default_factory=anyio.Event)
+    """Set when a request enters the queue."""
 
-    filled_at: float = 0.0
-    """When the first of those that wait came, on the monotonic clock."""
+    waiting_since: float = 0.0
+    """Monotonic time at which the queue last became non-empty."""
 
-    turn_at: float = 0.0
-    """When a request last went on, likewise."""
+    last_admitted_at: float = 0.0
+    """Monotonic time of the latest admission."""
 
-    turn_pace: Pace = msgspec.field(default_factory=Pace)
-    """Times between two that go on while others wait, in seconds."""
+    admission_pace: Pace = msgspec.field(default_factory=Pace)
+    """Intervals between admissions while requests wait, in seconds."""
 
-    looked: dict[str, tuple[float, bool]] = msgspec.field(default_factory=dict)
-    """When each pool was last looked at, on the monotonic clock, and whether it took requests."""
+    capacity_checks: dict[str, tuple[float, bool]] = msgspec.field(default_factory=dict)
+    """Latest capacity check of each pool: its monotonic time, and whether the pool accepts work."""
 
 
 class BackoffWatch(msgspec.Struct, kw_only=True):
-    """Upstreams whose rest is yet to be logged as over."""
+    """Upstreams that are backing off, until the end of the back-off is logged."""
 
     upstreams: dict[str, ForwardedUpstream] = msgspec.field(default_factory=dict)
-    """The upstreams, by run."""
+    """The upstreams, by instance."""
 
     changed: anyio.Event = msgspec.field(default_factory=anyio.Event)
-    """Set when one was added or asked for longer."""
+    """Set when an upstream is added or extends its back-off."""
 
 
 class GatewayState(msgspec.Struct, kw_only=True):
     """State of one gateway process."""
 
     settings: GatewaySettings
-    """Its settings."""
+    """Settings of the process."""
 
     started_at: float = msgspec.field(default_factory=clock.now)
-    """When the process was built, on the monotonic clock."""
+    """Monotonic time at which the process started."""
 
     configuration: TrafficConfiguration | None = None
     """The document in force, decoded; None before the first."""
 
     index: RouteIndex = msgspec.field(default_factory=RouteIndex)
-    """Look-up tables of the document in force."""
+    """Lookup tables of the document in force."""
 
     freshness: Freshness = msgspec.field(default_factory=Freshness)
-    """Since when the document is known to be the newest."""
+    """When the document was last confirmed as the newest."""
 
     confirmed: bool = False
-    """True once a document in force was confirmed as the newest. Until then nothing is served:
-    a control box that has just started may have sent an old one."""
+    """True once a document in force was confirmed as the newest. Until then nothing is served,
+    because a control box that has just started may have sent an old document."""
 
     entry_count: int = 1
-    """Entry boxes among which shared budgets are split: the most that control boxes told of within
-    `ENTRY_COUNT_SECONDS` before the newest answer."""
+    """Number of entry boxes that share the budgets: the maximum that control boxes reported within
+    `ENTRY_COUNT_SECONDS` before the latest answer."""
 
     entry_counts: deque[tuple[float, int]] = msgspec.field(default_factory=deque)
-    """Those answers: when each came, on the monotonic clock, and how many it told of."""
+    """Recent reports of that number: monotonic time of arrival and number of entry boxes."""
 
     table: ForwardingTable = msgspec.field(default_factory=ForwardingTable)
-    """Upstreams that registered."""
+    """Registered upstreams."""
 
     backoff_watch: BackoffWatch = msgspec.field(default_factory=BackoffWatch)
-    """Upstreams that asked for rest."""
+    """Upstreams that requested back-off."""
 
     suspected_domains: DomainDoubts = msgspec.field(default_factory=DomainDoubts)
-    """Failure domains that may be cut off."""
+    """Failure domains that may be unreachable."""
 
     suspected_links: LinkDoubts = msgspec.field(default_factory=LinkDoubts)
-    """Links between failure domains that are avoided."""
+    """Links between failure domains that are avoided for now."""
 
     link_load: LinkLoad = msgspec.field(default_factory=LinkLoad)
-    """What this box sends over links between failure domains."""
+    """Traffic that this box sends over links between failure domains."""
 
     exited_instances: dict[str, None] = msgspec.field(default_factory=dict)
-    """Ids of runs of upstreams that have ended, oldest first."""
+    """Ids of upstream instances that have exited, oldest first."""
 
     connections: ConnectionPool = msgspec.field(default_factory=ConnectionPool)
     """Idle connections to upstreams."""
 
     retry_budgets: dict[str, RepeatWindow] = msgspec.field(default_factory=dict)
-    """Budget of repeats by pool."""
+    """Retry budgets, by pool."""
 
     batched_quota_requests: dict[str, PendingQuotaRequest] = msgspec.field(default_factory=dict)
-    """Questions for repeats that are about to be sent, by pool."""
+    """Requests for retry quota that still collect demand before being sent, by pool."""
 
     pending_quota_requests: dict[int, PendingQuotaRequest] = msgspec.field(default_factory=dict)
-    """Those that were sent, by the number of their newest question."""
+    """Sent requests for retry quota, by the id of their latest request."""
 
     quota_denied_until: dict[str, float] = msgspec.field(default_factory=dict)
-    """Until when no more is asked for after nothing was lent, by pool, on the monotonic clock."""
+    """Monotonic time until which no retry quota is requested after a denial, by pool."""
 
     next_quota_call: int = 1
-    """Number of the next question for repeats."""
+    """Id of the next request for retry quota."""
 
     quarantine: ContentWatch = msgspec.field(default_factory=ContentWatch)
-    """Contents under which upstreams end."""
+    """Request contents under which upstreams crash, and those that are quarantined."""
 
     answer_paces: dict[str, Pace] = msgspec.field(default_factory=dict)
-    """Times that plain services took to answer, in seconds, by pool."""
+    """Answer times of plain services, in seconds, by pool."""
 
     first_pace: Pace = msgspec.field(default_factory=Pace)
-    """Times from the sending of a run to its first event, in seconds."""
+    """Times from sending a stream's attempt to its first event, in seconds."""
 
     stream_pace: Pace = msgspec.field(default_factory=Pace)
-    """Times that whole streams took, in seconds."""
+    """Durations of complete streams, in seconds."""
 
     probe_pace: Pace = msgspec.field(default_factory=Pace)
-    """Times that engines took to accept a connection when they were probed, in seconds."""
+    """Times that probed engines took to accept a connection, in seconds."""
 
     rng: random.Random = msgspec.field(default_factory=random.Random)
-    """Source of choices and jitter."""
+    """Random source for selection and jitter."""
 
     metrics: GatewayMetrics = msgspec.field(default_factory=GatewayMetrics)
     """Counters and histograms."""
 
     start_queue: AdmissionQueue
-    """Requests that wait until the box can serve."""
+    """Requests that wait until this box has started."""
 
     upstream_queue: AdmissionQueue
-    """Requests that wait until upstreams want work again."""
+    """Requests that wait until upstreams accept work again."""
 
     peers: Peers | None = None
     """Links to control boxes."""
 
     limit_keeper: LimitKeeper | None = None
-    """Keeps to the requests a second that upstreams name."""
+    """Enforces the rate limits that upstreams name, in requests per second."""
 
     stopping: bool = False
     """True once a planned stop has begun."""
 
     refusing: bool = False
-    """True once a planned stop takes no further requests."""
+    """True once a planned stop refuses new requests."""
 
     out_of_time: bool = False
-    """True once a planned stop cuts what is still in progress."""
+    """True once a planned stop has timed out and cancels the requests in progress."""
 
     def __post_init__(self) -> None:
         self.limit_keeper = LimitKeeper(
             table=self.table.limits,
-            attach=lambda instance, held: attach_limit(self.table, instance, held),
+            attach=lambda instance, limit: attach_limit(self.table, instance, limit),
             controls=lambda: list(self.peers.links.values()) if self.peers is not None else [],
         )
 
@@ -259,18 +260,18 @@
 
     @property
     def limits(self) -> CallerLimits:
-        """Bounds for callers."""
+        """Limits for callers."""
         return self.configuration.limits if self.configuration is not None else CallerLimits()
 
 
 def limit_keeper_of(state: GatewayState) -> LimitKeeper:
-    """Return what keeps to the requests a second that upstreams name."""
+    """Return the limit keeper, which is set once the state is built."""
     assert state.limit_keeper is not None
     return state.limit_keeper
 
 
 def build_admission_queue(settings: GatewaySettings) -> AdmissionQueue:
-    """Return a bounded place for requests that wait."""
+    """Build a queue that is bounded by the settings."""
     section = settings.gateway
     queue = WaitQueue(
         most_requests=section.wait_queue_requests, most_bytes=section.wait_queue_bytes
@@ -279,12 +280,12 @@
 
 
 def check_freshness(state: GatewayState, now: float) -> bool:
-    """Tell whether keys and routes may be judged by the document in force.
+    """Return whether the document in force is fresh enough to decide on keys and routes.
 
-    Also sets `confirmed` the first time that they may: whoever reads that asks here before.
+    Sets `confirmed` the first time it is. Callers that read `confirmed` must call this first.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         now: Monotonic time, read after the request arrived.
     """
     if state.configuration is None:
@@ -293,26 +294,26 @@
     seconds = bounds.revocation_ms / 1000.0 * FRESHNESS_SHARE
     if not bounds.strict_revocation and state.confirmed:
         seconds = float("inf")
-    holds = is_fresh(state.freshness, state.version, now, seconds)
-    state.confirmed = state.confirmed or holds
-    return holds
+    fresh = is_fresh(state.freshness, state.version, now, seconds)
+    state.confirmed = state.confirmed or fresh
+    return fresh
 
 
 def record_entry_count(state: GatewayState, count: int, now: float) -> None:
-    """Take in how many entry boxes a control box knows of."""
+    """Record how many entry boxes a control box reports."""
     state.entry_counts.append((now, count))
     while now - state.entry_counts[0][0] > ENTRY_COUNT_SECONDS:
         state.entry_counts.popleft()
-    state.entry_count = max(told for _at, told in state.entry_counts)
+    state.entry_count = max(reported for _at, reported in state.entry_counts)
 
 
 def answer_pace(state: GatewayState, pool: str) -> Pace:
-    """Return how long answers of a pool of plain services take."""
+    """Return the statistics of a plain pool's answer times."""
     return state.answer_paces.setdefault(pool, Pace(floor=0.0))
 
 
 def retry_budget(state: GatewayState, pool: str) -> RepeatWindow:
-    """Return the budget of repeats of a pool."""
+    """Return the retry budget of a pool."""
     window = state.retry_budgets.get(pool)
     if window is None:
         bounds = state.settings.bounds
--- a/src/ledgeladder/daemons/gateway/waiting.py
+++ b/src/ledgeladder/daemons/gateway/waiting.py
@@ -153,7 +153,7 @@
         refused.
     """
     now, waits = anyio.current_time(), state.upstream_queue
-    if now + seconds + len(waits.queue.waiting) * waits.turn_pace.mean > until:
+    if now + seconds + len(waits.queue.waiting) * waits.admission_pace.mean > until:
         return False
     look_at = now + min(seconds, LOOK_AGAIN_SECONDS)
 
@@ -185,7 +185,7 @@
 
     All that wait for a pool look at the same time, so that what was found is kept for a moment.
     """
-    looked = state.upstream_queue.looked
+    looked = state.upstream_queue.capacity_checks
     at, found = looked.get(pool.name, (float("-inf"), False))
     if now - at < LOOK_SECONDS / 2:
         return found
@@ -220,15 +220,15 @@
 
 async def _wait_for_turn(waits: AdmissionQueue, entered: WaitingRequest, seconds: float) -> bool:
     """Wait until a request may go on; False if the time is over first."""
-    turn = waits.turns[entered.ticket] = anyio.Event()
+    turn = waits.admissions[entered.ticket] = anyio.Event()
     if len(waits.queue.waiting) == 1:
-        waits.filled_at = anyio.current_time()
-    waits.filled.set()
+        waits.waiting_since = anyio.current_time()
+    waits.has_waiting.set()
     try:
         with anyio.move_on_after(seconds):
             await turn.wait()
     finally:
-        del waits.turns[entered.ticket]
+        del waits.admissions[entered.ticket]
         leave(waits.queue, entered)
     return turn.is_set()
 
@@ -237,8 +237,8 @@
     """Let waiting requests go on, one after the other, once they can be served, for ever."""
     while True:
         if not waits.queue.waiting:
-            await waits.filled.wait()
-            waits.filled = anyio.Event()
+            await waits.has_waiting.wait()
+            waits.has_waiting = anyio.Event()
         while waits.queue.waiting:
             await anyio.sleep(_let_next_go(waits))
 
@@ -253,9 +253,9 @@
     if request is None:
         return LOOK_SECONDS
     leave(waits.queue, request)
-    waits.turns[request.ticket].set()
+    waits.admissions[request.ticket].set()
     now = anyio.current_time()
-    if waits.queue.waiting or waits.turn_at > waits.filled_at:
-        note_gap(waits.turn_pace, now - max(waits.turn_at, waits.filled_at))
-    waits.turn_at = now
+    if waits.queue.waiting or waits.last_admitted_at > waits.waiting_since:
+        note_gap(waits.admission_pace, now - max(waits.last_admitted_at, waits.waiting_since))
+    waits.last_admitted_at = now
     return request.pace()
--- a/tests/daemons/gateway/test_backpressure.py
+++ b/tests/daemons/gateway/test_backpressure.py
@@ -1,4 +1,4 @@
-"""What a gateway takes in of an answer's head, and what it sends to an upstream that asked."""
+"""A gateway applies the back-pressure that upstreams signal in the heads of answers."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
     return read_answer_facts(status, named)
 
 
-def take(status: int, **fields: str) -> list[tuple[bool, bool]]:
-    """Return whether each of two upstreams rests and leaves after the first one answered."""
+def apply(status: int, **fields: str) -> list[tuple[bool, bool]]:
+    """Return whether each of two upstreams backs off and drains after the first one answered."""
 
     async def play() -> list[tuple[bool, bool]]:
         state, head, later = two_upstreams()
@@ -51,37 +51,37 @@
     return anyio.run(play)
 
 
-SERVES = (False, False)
+AVAILABLE = (False, False)
 
 
 @pytest.mark.parametrize(
     ("status", "fields", "head", "later"),
     [
-        (503, {"not_executed": "1", "retry_after": "3"}, (True, False), SERVES),
-        (429, {"not_executed": "1", "retry_after": "3"}, (True, False), SERVES),
-        (503, {"not_executed": "1"}, SERVES, SERVES),
-        (503, {"not_executed": "1", "retry_after": "-3"}, SERVES, SERVES),
-        (200, {"retry_after": "3"}, SERVES, SERVES),
+        (503, {"not_executed": "1", "retry_after": "3"}, (True, False), AVAILABLE),
+        (429, {"not_executed": "1", "retry_after": "3"}, (True, False), AVAILABLE),
+        (503, {"not_executed": "1"}, AVAILABLE, AVAILABLE),
+        (503, {"not_executed": "1", "retry_after": "-3"}, AVAILABLE, AVAILABLE),
+        (200, {"retry_after": "3"}, AVAILABLE, AVAILABLE),
         (
             503,
             {"not_executed": "1", "retry_after": "3", "at_server": "10.0.0.2:80"},
             (True, False),
             (True, False),
         ),
-        (200, {"server_leaving": "1"}, (False, True), SERVES),
-        (503, {"not_executed": "1", "server_leaving": "1"}, (False, True), SERVES),
-        (421, {"server_leaving": "1", "retry_after": "3"}, SERVES, SERVES),
+        (200, {"server_leaving": "1"}, (False, True), AVAILABLE),
+        (503, {"not_executed": "1", "server_leaving": "1"}, (False, True), AVAILABLE),
+        (421, {"server_leaving": "1", "retry_after": "3"}, AVAILABLE, AVAILABLE),
     ],
 )
-def test_upstream_that_answers_speaks_for_itself(
+def test_backpressure_applies_to_the_answering_upstream_and_the_culprit(
     status: int, fields: dict[str, str], head: tuple[bool, bool], later: tuple[bool, bool]
 ) -> None:
-    assert take(status, **fields) == [head, later]
+    assert apply(status, **fields) == [head, later]
 
 
-@pytest.mark.parametrize("wish", ["rest", "leaving"])
-def test_nothing_is_sent_to_an_upstream_that_asked_while_the_connection_came_up(
-    monkeypatch: pytest.MonkeyPatch, wish: str
+@pytest.mark.parametrize("signal", ["backoff", "draining"])
+def test_backpressure_signalled_while_connecting_stops_the_request(
+    monkeypatch: pytest.MonkeyPatch, signal: str
 ) -> None:
     closed: list[bool] = []
 
@@ -93,8 +93,8 @@
         state, head, _later = two_upstreams()
 
         async def connect_late(*_args: Any, **_options: Any) -> Connection:
-            said = {"retry_after": "3"} if wish == "rest" else {"server_leaving": "1"}
-            handle_backpressure(state, PERMIT, head, facts(503, **said), 0.0)
+            signals = {"retry_after": "3"} if signal == "backoff" else {"server_leaving": "1"}
+            handle_backpressure(state, PERMIT, head, facts(503, **signals), 0.0)
             return Connection()
 
         monkeypatch.setattr(upstream_call, "_get_connection", connect_late)
@@ -106,7 +106,7 @@
     assert closed == [True]
 
 
-def test_each_rest_is_logged_once_at_its_beginning_and_once_at_its_end(
+def test_each_backoff_is_logged_once_at_its_start_and_once_at_its_end(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO")
@@ -125,5 +125,5 @@
 
     anyio.run(play)
     messages = [record.message for record in caplog.records]
-    assert messages.count("upstream asks for rest") == 2
-    assert messages.count("upstream has rested") == 2
+    assert messages.count("upstream requested back-off") == 2
+    assert messages.count("upstream back-off ended") == 2
--- a/tests/daemons/gateway/test_crashes.py
+++ b/tests/daemons/gateway/test_crashes.py
@@ -1,4 +1,4 @@
-"""What a gateway makes of upstreams that end under its requests."""
+"""Requests that crash upstreams are reported, and quarantined ones refused."""
 
 from __future__ import annotations
 
@@ -32,105 +32,107 @@
     return SimpleNamespace(method=b"POST", target=b"/x", body=body)
 
 
-def mark(body: bytes = b"body") -> bytes:
+def fingerprint(body: bytes = b"body") -> bytes:
     return content_fingerprint(RequestTrace(), request(body), PERMIT)
 
 
-def told_by(state: GatewayState) -> list[Any]:
-    told: list[Any] = []
-    links = {"10.0.0.1": SimpleNamespace(post=told.append)}
+def collect_reports(state: GatewayState) -> list[Any]:
+    reports: list[Any] = []
+    links = {"10.0.0.1": SimpleNamespace(post=reports.append)}
     state.peers = SimpleNamespace(links=links, ranked=["10.0.0.1"])  # type: ignore[assignment]
-    return told
+    return reports
 
 
-def end_run(state: GatewayState, instance: str, *, ended: bool, body: bytes = b"body") -> None:
+def fail_attempt(
+    state: GatewayState, instance: str, *, exited: bool, body: bytes = b"body"
+) -> None:
     upstream = engine(instance)
-    if ended:
+    if exited:
         upstream.ended_at = anyio.current_time()
     started_at = anyio.current_time() - 0.1
     record_crash(state, PERMIT, request(body), RequestTrace(), [upstream], started_at)
 
 
-def test_content_under_which_upstreams_end_is_refused_with_the_time_to_come_back() -> None:
+def test_content_that_crashes_upstreams_is_refused_with_retry_after() -> None:
     async def play() -> None:
         state = gateway_state()
-        told = told_by(state)
+        reports = collect_reports(state)
         for number in range(CRASH_LIMIT):
             refuse_quarantined(state, PERMIT, request(), RequestTrace())
             assert count_crashes(state, PERMIT, request(), RequestTrace()) == number
-            end_run(state, f"i-{number}", ended=True)
-        expected = [CrashReport(content=mark(), instance=f"i-{item}") for item in range(3)]
-        assert told == expected
+            fail_attempt(state, f"i-{number}", exited=True)
+        expected = [CrashReport(content=fingerprint(), instance=f"i-{item}") for item in range(3)]
+        assert reports == expected
         with pytest.raises(ProblemError) as caught:
             refuse_quarantined(state, PERMIT, request(), RequestTrace())
         problem = caught.value.problem
         assert problem.code is ResultCode.QUARANTINED
         assert problem.known_execution is Execution.NOT_RUN
         assert problem.retry_after == pytest.approx(UNCONFIRMED_SECONDS, abs=1.0)
-        # Others are served, whatever they have in common with it but the content.
+        # Requests with other content are still served.
         refuse_quarantined(state, PERMIT, request(b"another"), RequestTrace())
 
     anyio.run(play)
 
 
-def test_cut_off_box_blames_no_content() -> None:
-    """The pattern: connections time out behind a cut; nothing says that a process has ended."""
+def test_partitioned_box_records_no_crash() -> None:
+    """Connections that time out in a partition are no evidence that a process has exited."""
 
     async def play() -> None:
         state = gateway_state()
-        told = told_by(state)
+        reports = collect_reports(state)
         for number in range(2 * CRASH_LIMIT):
-            end_run(state, f"i-{number}", ended=False)
-        assert told == []
+            fail_attempt(state, f"i-{number}", exited=False)
+        assert reports == []
         assert count_crashes(state, PERMIT, request(), RequestTrace()) == 0
 
     anyio.run(play)
 
 
-def test_end_from_before_the_run_does_not_count() -> None:
+def test_exit_before_the_attempt_is_not_counted() -> None:
     async def play() -> None:
         state = gateway_state()
         upstream = engine("i-1")
         upstream.ended_at = anyio.current_time()
         started_at = upstream.ended_at + 1.0
         record_crash(state, PERMIT, request(), RequestTrace(), [upstream], started_at)
-        assert count_ends(state.quarantine.book, mark()) == 0
+        assert count_ends(state.quarantine.book, fingerprint()) == 0
 
     anyio.run(play)
 
 
-def test_answered_request_is_suspected_no_more_anywhere() -> None:
+def test_answer_clears_suspicion_at_all_boxes() -> None:
     async def play() -> None:
         state = gateway_state()
-        told = told_by(state)
-        end_run(state, "i-1", ended=True)
-        handle_suspect_update(state, SuspectNews(content=mark(), ends=2))
+        reports = collect_reports(state)
+        fail_attempt(state, "i-1", exited=True)
+        handle_suspect_update(state, SuspectNews(content=fingerprint(), ends=2))
         assert count_crashes(state, PERMIT, request(), RequestTrace()) == 2
         record_answered(state, PERMIT, request(), RequestTrace())
         assert count_crashes(state, PERMIT, request(), RequestTrace()) == 0
-        assert told[-1] == ContentServed(content=mark())
+        assert reports[-1] == ContentServed(content=fingerprint())
 
     anyio.run(play)
 
 
-def test_what_control_boxes_say_holds_here() -> None:
+def test_updates_of_control_boxes_are_applied() -> None:
     async def play() -> None:
         state = gateway_state()
-        handle_suspect_update(state, SuspectNews(content=mark(b"1"), ends=CRASH_LIMIT))
+        handle_suspect_update(state, SuspectNews(content=fingerprint(b"1"), ends=CRASH_LIMIT))
         handle_quarantine_update(
-            state, QuarantineNews(seconds_left={mark(b"2"): 100.0, mark(b"3"): 0.0})
+            state, QuarantineNews(seconds_left={fingerprint(b"2"): 100.0, fingerprint(b"3"): 0.0})
         )
         for body, seconds in ((b"1", UNCONFIRMED_SECONDS), (b"2", 100.0)):
             with pytest.raises(ProblemError) as caught:
                 refuse_quarantined(state, PERMIT, request(body), RequestTrace())
             assert caught.value.problem.retry_after == pytest.approx(seconds, abs=1.0)
         refuse_quarantined(state, PERMIT, request(b"3"), RequestTrace())
-        assert mark(b"3") not in state.quarantine.held_until
+        assert fingerprint(b"3") not in state.quarantine.held_until
 
     anyio.run(play)
 
 
-def test_calm_box_hashes_nothing() -> None:
+def test_no_fingerprint_is_computed_without_suspects() -> None:
     trace = RequestTrace()
     state = gateway_state()
     refuse_quarantined(state, PERMIT, request(), trace)
--- a/tests/daemons/gateway/test_loss_updates.py
+++ b/tests/daemons/gateway/test_loss_updates.py
@@ -1,7 +1,6 @@
-"""What a box does about an engine that other boxes found dead.
+"""A box reacts to another box's report that an engine is unreachable.
 
-The pattern: an engine is lost, and each of hundreds of boxes would find out by a lost try of its
-own. Streams that pass the engine stand still until they do.
+Without such reports, each box would detect the loss only through a failed attempt of its own.
 """
 
 from __future__ import annotations
@@ -20,9 +19,9 @@
 
 def known_engine() -> tuple[GatewayState, ForwardedUpstream]:
     state = gateway_state()
-    held = engine()
-    state.table.upstreams[held.registration.instance] = held
-    return state, held
+    known = engine()
+    state.table.upstreams[known.registration.instance] = known
+    return state, known
 
 
 class Accepted:
@@ -30,46 +29,46 @@
         pass
 
 
-def take(state: GatewayState, held: ForwardedUpstream) -> bool:
-    """Take the news in; tells whether streams are affected."""
+def handle(state: GatewayState, known: ForwardedUpstream) -> bool:
+    """Handle a report, and return whether streams are affected."""
 
     async def run() -> bool:
-        held.heard_at = anyio.current_time() - 0.5
+        known.heard_at = anyio.current_time() - 0.5
         affected = handle_loss_update(state, "i-1")
-        assert not is_usable(held, anyio.current_time()) or held.proven_at > held.heard_at
+        assert not is_usable(known, anyio.current_time()) or known.proven_at > known.heard_at
         return affected is not None
 
     return anyio.run(run)
 
 
-def test_it_gets_nothing_new_until_it_is_heard() -> None:
-    state, held = known_engine()
-    assert not take(state, held)
-    held.heard_at = held.lost_at + 1.0
-    assert is_usable(held, held.heard_at + 1.0)
+def test_unreachable_engine_gets_no_new_work_until_its_next_heartbeat() -> None:
+    state, known = known_engine()
+    assert not handle(state, known)
+    known.heard_at = known.lost_at + 1.0
+    assert is_usable(known, known.heard_at + 1.0)
 
 
-def test_word_of_others_does_not_outweigh_progress_of_this_moment() -> None:
-    state, held = known_engine()
-    held.on_lost.add(lambda _engine: None)
+def test_recent_progress_outweighs_a_report_of_others() -> None:
+    state, known = known_engine()
+    known.on_lost.add(lambda _engine: None)
 
     async def run() -> None:
-        held.proven_at = anyio.current_time()
+        known.proven_at = anyio.current_time()
         assert handle_loss_update(state, "i-1") is None
-        assert is_usable(held, anyio.current_time())
+        assert is_usable(known, anyio.current_time())
 
     anyio.run(run)
 
 
-def test_news_of_unknown_engines_and_old_news_change_nothing() -> None:
-    state, held = known_engine()
-    assert take_loss_news_in_loop(state, "i-2") is None
-    held.on_lost.add(lambda _engine: None)
-    assert take_loss_news_in_loop(state, "i-1") is held
-    assert take_loss_news_in_loop(state, "i-1") is None
+def test_reports_of_unknown_engines_and_repeated_reports_are_ignored() -> None:
+    state, known = known_engine()
+    assert handle_in_loop(state, "i-2") is None
+    known.on_lost.add(lambda _engine: None)
+    assert handle_in_loop(state, "i-1") is known
+    assert handle_in_loop(state, "i-1") is None
 
 
-def take_loss_news_in_loop(state: GatewayState, instance: str) -> ForwardedUpstream | None:
+def handle_in_loop(state: GatewayState, instance: str) -> ForwardedUpstream | None:
     async def run() -> ForwardedUpstream | None:
         return handle_loss_update(state, instance)
 
@@ -77,7 +76,7 @@
 
 
 @pytest.mark.parametrize("listens", [True, False])
-def test_streams_are_interrupted_on_own_evidence_only(
+def test_streams_are_interrupted_only_after_a_failed_probe(
     monkeypatch: pytest.MonkeyPatch, listens: bool
 ) -> None:
     async def connect(address: str, *, source: str | None, seconds: float) -> Accepted:
@@ -86,15 +85,15 @@
         raise ConnectError(address) from ConnectionRefusedError()
 
     monkeypatch.setattr(probing, "connect", connect)
-    state, held = known_engine()
+    state, known = known_engine()
     interrupted: list[str] = []
-    held.on_lost.add(lambda lost: interrupted.append(lost.registration.instance))
-    assert take(state, held)
+    known.on_lost.add(lambda lost: interrupted.append(lost.registration.instance))
+    assert handle(state, known)
     assert not interrupted
 
     async def run() -> None:
-        await confirm_loss(state, held)
-        assert is_usable(held, anyio.current_time()) is listens
+        await confirm_loss(state, known)
+        assert is_usable(known, anyio.current_time()) is listens
 
     anyio.run(run)
     assert interrupted == ([] if listens else ["i-1"])
--- a/tests/daemons/gateway/test_state.py
+++ b/tests/daemons/gateway/test_state.py
@@ -1,4 +1,4 @@
-"""How many entry boxes share the budgets."""
+"""Number of entry boxes that share the budgets."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from .builders import gateway_state
 
 
-def test_most_entry_boxes_of_the_last_seconds_count() -> None:
-    """A control box that is cut off tells too few; one that counted a box twice tells too many."""
+def test_entry_count_is_the_maximum_of_recent_reports() -> None:
+    """A partitioned control box reports too few entry boxes."""
     state = gateway_state()
     record_entry_count(state, 8, 0.0)
     record_entry_count(state, 3, 1.0)
--- a/tests/daemons/gateway/test_waiting.py
+++ b/tests/daemons/gateway/test_waiting.py
@@ -191,7 +191,7 @@
             assert len(state.start_queue.queue.waiting) == 1
             tasks.cancel_scope.cancel()
         assert not state.start_queue.queue.waiting
-        assert not state.start_queue.turns
+        assert not state.start_queue.admissions
 
     anyio.run(run)
 
@@ -257,7 +257,7 @@
             assert takes_work(service, anyio.current_time())
             tasks.cancel_scope.cancel()
         assert not state.upstream_queue.queue.waiting
-        assert not state.upstream_queue.turns
+        assert not state.upstream_queue.admissions
 
     anyio.run(run)
 
@@ -345,7 +345,7 @@
     async def run() -> None:
         state = gateway_state()
         resting_service(state, 0.1)
-        state.upstream_queue.turn_pace.mean = 1.0
+        state.upstream_queue.admission_pace.mean = 1.0
         async with anyio.create_task_group() as tasks:
             for _ in range(3):
                 tasks.start_soon(wait, state, permit(60.0), 0.1)
