--- a/src/ledgeladder/daemons/gateway/app.py
+++ b/src/ledgeladder/daemons/gateway/app.py
@@ -14,8 +14,8 @@
 from ..plain_problems import write_problem
 from .checks import Permit, permit_request
 from .crashes import refuse_quarantined
+from .notes import RequestTrace, log_fields
 from .plain import forward_plain
-from .request_trace import RequestTrace, log_fields
 from .stream import forward_stream
 from .waiting import is_starting, wait_for_turn
 
--- a/src/ledgeladder/daemons/gateway/control_link.py
+++ b/src/ledgeladder/daemons/gateway/control_link.py
@@ -50,9 +50,9 @@
 from ...routing.route_index import build_index
 from ..limit_keeper import take_limit_message
 from ..peers import SILENCE_SECONDS, add_peers, primary_of
+from .borrowing import handle_quota_reply
 from .crashes import handle_quarantine_update, handle_suspect_update
 from .loss_updates import confirm_loss, handle_loss_update
-from .retry_quota import handle_quota_reply
 from .state import limit_keeper_of, record_entry_count
 
 if TYPE_CHECKING:
--- a/src/ledgeladder/daemons/gateway/crashes.py
+++ b/src/ledgeladder/daemons/gateway/crashes.py
@@ -11,7 +11,7 @@
 from ...links.messages import ContentServed, CrashReport
 from ...model import ResultCode
 from .checks import refusal
-from .request_trace import content_fingerprint
+from .notes import content_fingerprint
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -20,7 +20,7 @@
     from ...links.messages import LinkMessage, QuarantineNews, SuspectNews
     from ...routing.forwarding_table import ForwardedUpstream
     from .checks import Permit
-    from .request_trace import RequestTrace
+    from .notes import RequestTrace
     from .state import GatewayState
 
 logger = logging.getLogger(__name__)
--- a/src/ledgeladder/daemons/gateway/plain.py
+++ b/src/ledgeladder/daemons/gateway/plain.py
@@ -28,11 +28,11 @@
 from ...routing.repeat_window import give_back, note_first
 from ...routing.service_choice import choose_service
 from .backpressure import request_grants
+from .borrowing import acquire_retry
 from .checks import Permit, refusal
 from .crashes import count_crashes, record_answered, record_crash
+from .notes import content_fingerprint
 from .probing import check_exited
-from .request_trace import content_fingerprint
-from .retry_quota import acquire_retry
 from .state import answer_pace, record_duration, retry_budget
 from .upstream_call import (
     MIN_FAILURE_STATUS,
@@ -49,7 +49,7 @@
     from ...http1 import Exchange, HttpRequest
     from ...routing.forwarding_table import ForwardedUpstream
     from ...routing.repeat_window import Repeat
-    from .request_trace import RequestTrace
+    from .notes import RequestTrace
     from .state import GatewayState
 
 logger = logging.getLogger(__name__)
--- a/src/ledgeladder/daemons/gateway/stream.py
+++ b/src/ledgeladder/daemons/gateway/stream.py
@@ -13,11 +13,11 @@
 from ...routing.pace import note_gap
 from ...routing.repeat_window import give_back, note_first
 from ...routing.stream_patience import stream_patience
+from .borrowing import acquire_retry
 from .checks import Permit, refusal
 from .crashes import count_crashes, record_answered
 from .probing import probe_timeout
 from .retry_after import retry_after_full, retry_after_no_path
-from .retry_quota import acquire_retry
 from .state import retry_budget
 from .stream_attempt import run_attempt
 from .stream_paths import choose_attempt_path, expected_answer_tokens, explain_missing_path
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from ...http1 import Exchange, HttpRequest
-    from .request_trace import RequestTrace
+    from .notes import RequestTrace
     from .state import GatewayState
 
 REFUSALS_LIMIT: Final = 4
--- a/src/ledgeladder/daemons/gateway/stream_attempt.py
+++ b/src/ledgeladder/daemons/gateway/stream_attempt.py
@@ -21,8 +21,8 @@
 from ...routing.link_load import note_crossings
 from ...routing.paths import ChosenPath, release, reserve
 from .crashes import record_crash
+from .notes import content_fingerprint
 from .probing import check_exited, find_unreachable, report_lost
-from .request_trace import content_fingerprint
 from .stall_watch import open_watched
 from .stream_events import forward_events
 from .stream_session import AttemptResult, StreamSession
--- a/src/ledgeladder/daemons/gateway/stream_session.py
+++ b/src/ledgeladder/daemons/gateway/stream_session.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ...routing.pace import Pace
-from .request_trace import RequestTrace
+from .notes import RequestTrace
 
 if TYPE_CHECKING:
     from ...routing.event_stream import EventOrder
--- a/src/ledgeladder/daemons/gateway/waiting.py
+++ b/src/ledgeladder/daemons/gateway/waiting.py
@@ -24,7 +24,7 @@
     from ...routing.forwarding_table import ForwardedUpstream
     from ...routing.wait_queue import WaitingRequest
     from .checks import Permit
-    from .request_trace import RequestTrace
+    from .notes import RequestTrace
     from .state import AdmissionQueue, GatewayState
 
 LOOK_SECONDS: Final = 0.01
--- a/tests/daemons/gateway/test_retry_quota.py
+++ b/tests/daemons/gateway/test_borrowing.py
@@ -8,8 +8,8 @@
 import anyio
 import pytest
 
-from ledgeladder.daemons.gateway import retry_quota
-from ledgeladder.daemons.gateway.retry_quota import acquire_retry, handle_quota_reply
+from ledgeladder.daemons.gateway import borrowing
+from ledgeladder.daemons.gateway.borrowing import acquire_retry, handle_quota_reply
 from ledgeladder.daemons.gateway.state import GatewayState
 from ledgeladder.links.messages import LoanReply, LoanRequest
 from ledgeladder.routing.repeat_window import Repeat
@@ -94,11 +94,11 @@
 
 
 def test_unresponsive_control_box_does_not_block_requests(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(retry_quota, "QUOTA_WAIT_SECONDS", 0.01)
+    monkeypatch.setattr(borrowing, "QUOTA_WAIT_SECONDS", 0.01)
     state, boxes = linked(None)
     assert anyio.run(acquire_all, state, boxes, 3) == [None, None, None]
     assert state.batched_quota_requests == {}
-    monkeypatch.setattr(retry_quota, "LOAN_SECONDS", 0.0)
+    monkeypatch.setattr(borrowing, "LOAN_SECONDS", 0.0)
     handle_quota_reply(state, LoanReply(call=boxes[0].requests[0].call, count=4))
     assert anyio.run(acquire_all, state, boxes, 1) == [None]
     assert len(state.pending_quota_requests) == 1
--- a/tests/daemons/gateway/test_crashes.py
+++ b/tests/daemons/gateway/test_crashes.py
@@ -18,7 +18,7 @@
     record_crash,
     refuse_quarantined,
 )
-from ledgeladder.daemons.gateway.request_trace import RequestTrace, content_fingerprint
+from ledgeladder.daemons.gateway.notes import RequestTrace, content_fingerprint
 from ledgeladder.daemons.gateway.state import GatewayState
 from ledgeladder.links.messages import ContentServed, CrashReport, QuarantineNews, SuspectNews
 from ledgeladder.model import Execution, ProblemError, ResultCode
--- a/tests/daemons/gateway/test_plain.py
+++ b/tests/daemons/gateway/test_plain.py
@@ -10,8 +10,8 @@
 from anyio.abc import SocketAttribute, SocketStream
 
 from ledgeladder.daemons.gateway import plain
+from ledgeladder.daemons.gateway.notes import RequestTrace
 from ledgeladder.daemons.gateway.plain import _Tries, _try_once
-from ledgeladder.daemons.gateway.request_trace import RequestTrace
 from ledgeladder.http1 import connect
 from ledgeladder.model.traffic import RequestKind
 from ledgeladder.routing.forwarding_table import put_registration
--- a/tests/daemons/gateway/test_waiting.py
+++ b/tests/daemons/gateway/test_waiting.py
@@ -15,7 +15,7 @@
 
 from ledgeladder.coordination.freshness import ask, take_answer
 from ledgeladder.daemons.gateway.checks import START_SECONDS, Permit
-from ledgeladder.daemons.gateway.request_trace import RequestTrace
+from ledgeladder.daemons.gateway.notes import RequestTrace
 from ledgeladder.daemons.gateway.state import answer_pace
 from ledgeladder.daemons.gateway.waiting import (
     is_starting,
