--- a/src/ledgeladder/daemons/gateway/stream.py
+++ b/src/ledgeladder/daemons/gateway/stream.py
@@ -1,4 +1,4 @@
-"""Forwarding streams over paths of engines, and carrying them on when an engine is lost."""
+"""Forwarding of streams over paths of engines, with failover when an engine is lost."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     from .state import GatewayState
 
 REFUSALS_LIMIT: Final = 4
-"""Paths that may refuse one request before the caller is told to come back."""
+"""Refusals by paths after which a request is rejected with a retry delay."""
 
 
 async def forward_stream(
@@ -40,17 +40,17 @@
     exchange: Exchange,
     trace: RequestTrace,
 ) -> None:
-    """Forward a stream until it is complete or is given up.
+    """Forward a stream until it completes or no further attempt is possible.
 
     Args:
         state: The process's state.
         permit: What the request may do.
         request: The request.
-        exchange: The answering side.
-        trace: Takes what is learnt of the request.
+        exchange: The exchange with the caller.
+        trace: Collects data on the request for its log line.
 
     Raises:
-        ProblemError: If it is given up before the caller has a head.
+        ProblemError: If it fails before the response head was sent to the caller.
     """
     profile = permit.pool.engine
     assert profile is not None
@@ -104,10 +104,10 @@
     session: StreamSession,
     trace: RequestTrace,
 ) -> bool:
-    """Wait if engines want no work for a while that the request has; True if it is tried anew.
+    """Wait for engines that are backing off or rate-limited; return True if one may be available.
 
-    Only who can still be served as soon as callers expect waits: with more than that, those who
-    came before take what those who come now could have had in time.
+    Requests that cannot be served within the latency target do not wait: queueing them would delay
+    newer requests beyond the target as well.
     """
     wait = session.missing.wait_seconds if session.missing is not None else None
     if wait is None:
@@ -120,7 +120,7 @@
 
 
 def _no_attempt_reason(permit: Permit, session: StreamSession) -> str:
-    """Return why another run is not allowed; empty if it is. The first one always is."""
+    """Return why another attempt is not allowed; empty if it is. The first one always is."""
     if session.refusals >= REFUSALS_LIMIT:
         return f"{session.refusals} paths refused"
     if session.attempts == 0:
@@ -140,14 +140,14 @@
     *,
     timed_out: bool,
 ) -> None:
-    """Give the final answer of a stream of which the caller has no head yet.
+    """Send the final response if the caller has no response head yet.
 
     Raises:
-        ProblemError: If no engine answered with a failure that can be passed on. It says that the
-            request has not run only if every run was refused or could not be sent.
+        ProblemError: If there is no error response of an engine to forward. It states that the
+            request was not executed only if every attempt was refused or could not be sent.
     """
     if session.started:
-        # An answer that is not complete ends with its connection, which the caller notices.
+        # Closing the connection signals a truncated response to the caller.
         return
     if session.failure is not None:
         head = session.failure.head
--- a/src/ledgeladder/daemons/gateway/stream_attempt.py
+++ b/src/ledgeladder/daemons/gateway/stream_attempt.py
@@ -1,4 +1,4 @@
-"""Running a stream once over one path."""
+"""One attempt of a stream over one path of engines."""
 
 from __future__ import annotations
 
@@ -53,18 +53,18 @@
     session: StreamSession,
     path: ChosenPath,
 ) -> AttemptResult:
-    """Run a stream once over one path.
+    """Send a stream's request over a path once and forward the events.
 
     Args:
         state: The process's state.
         permit: What the request may do.
         request: The request.
-        exchange: The answering side.
+        exchange: The exchange with the caller.
         session: The caller's stream.
         path: The path.
 
     Returns:
-        How the run ended.
+        The result of the attempt.
     """
     session.sent += 1
     session.attempts += 1
@@ -94,10 +94,11 @@
 
 
 def _reached_engines(path: ChosenPath, started_at: float) -> list[ForwardedUpstream]:
-    """Return the engines of a run that lived when it came to them.
+    """Return the engines that were alive when the attempt reached them.
 
-    The first one took the request. A later one may have ended before without this box knowing,
-    which is no evidence against the request; it lived if it has worked since the run was sent.
+    The first engine accepted the request. A later one may have exited earlier, unnoticed by this
+    box, which is no evidence that the request crashed it. It counts as reached only if it made
+    progress after the attempt was sent.
     """
     later = [engine for engine in path.engines[1:] if engine.proven_at >= started_at]
     return [path.head, *later]
@@ -106,7 +107,7 @@
 def _record_hops(
     state: GatewayState, permit: Permit, session: StreamSession, path: ChosenPath
 ) -> None:
-    """Count what a run sends over links between failure domains."""
+    """Record the traffic of an attempt on links between failure domains."""
     assert permit.pool.engine is not None
     profile, tokens = permit.pool.engine, permit.facts.prompt_tokens
     now = anyio.current_time()
@@ -124,7 +125,7 @@
         session.dead.add(engine.registration.instance)
         session.interrupted = True
         if not session.emitting:
-            # Cancelling a write would lose events that the next run does not send again.
+            # Cancelling a write would lose events that the next attempt does not resend.
             scope.cancel()
 
     for engine in path.engines:
@@ -145,10 +146,10 @@
     result: AttemptResult,
     detail: str,
 ) -> None:
-    """Count a run's end, take back what does not count as a run, and log all but whole ones.
+    """Count an attempt's result, correct the session's counters, and log incomplete attempts.
 
-    A run that is cancelled because the caller left or its time is over is logged as lost, without
-    a detail.
+    An attempt that is cancelled because the caller disconnected or the deadline passed is logged as
+    lost, without a detail.
     """
     state.metrics.counters[f"run-{result.value}"] += 1
     if result is AttemptResult.COMPLETE:
@@ -163,7 +164,7 @@
         session.attempts -= 1
         session.excluded.add(path.head.registration.instance)
     elif path.head.registration.instance in session.dead:
-        # Upstreams that ended meanwhile do not count towards the most attempts.
+        # Attempts whose first engine died do not count towards `max_attempts`.
         session.attempts -= 1
     logger.warning(
         "run ended early",
@@ -181,7 +182,7 @@
 
 
 def _describe_path(path: ChosenPath) -> list[str]:
-    """Return the engines of a path with their layers, for logs."""
+    """Return the engines of a path with their layer ranges, for logs."""
     return [f"{part.instance}={part.first}-{part.end}" for part in path.parts]
 
 
@@ -193,10 +194,10 @@
     session: StreamSession,
     path: ChosenPath,
 ) -> tuple[AttemptResult, str]:
-    """Send the request and pass events on.
+    """Send the request and forward the events.
 
     Returns:
-        How the run ended, and a few words why, for the log.
+        The result of the attempt, and its reason for the log.
     """
     resume_after = session.order.last_id
     dispatch = Dispatch(
@@ -228,22 +229,22 @@
     try:
         return await forward_events(state, exchange, session, path, answer, started_at)
     except (AnswerBrokenError, AnswerLostError, ValueError) as error:
-        # ValueError: an event that never ends.
+        # ValueError: an event exceeds the size limit.
         await _identify_failed_engines(state, session, path)
         return AttemptResult.LOST, str(error)
     finally:
-        # Not kept for the next stream: once an engine is lost, a connection to it that is refused
-        # costs nothing, and a kept one that is reset costs a run.
+        # Connections are not pooled for streams: if the engine dies, a refused new connection costs
+        # nothing, but a reset pooled connection costs an attempt.
         await answer.connection.close()
 
 
 async def _handle_error_answer(
     state: GatewayState, session: StreamSession, path: ChosenPath, answer: OpenAnswer
 ) -> tuple[AttemptResult, str]:
-    """Take in an answer that is no stream, or that does not carry the id of the request.
+    """Handle an answer that is not a stream, or that does not carry the id of the request.
 
     Returns:
-        How the run ended, and a few words why, for the log.
+        The result of the attempt, and its reason for the log.
     """
     status = answer.head.status_code
     try:
@@ -269,11 +270,11 @@
 async def _evaluate_refusal(
     state: GatewayState, session: StreamSession, path: ChosenPath, engine: ForwardedUpstream
 ) -> None:
-    """Take in that a run was refused on account of one engine.
+    """Record that an attempt was refused because of one engine, as full or as dead.
 
-    The first engine says so itself, and is full or leaves. It names a later one also if that one is
-    dead: taken for full for a moment, it would be sent a run from each box every quarter of a
-    second for as long as it is registered. A connection tells the two apart in a round trip.
+    The first engine refuses by itself if it is full or draining. It names a later engine if that
+    one is full or dead. A dead engine that is recorded as full would receive an attempt from each
+    box every `FULL_SECONDS` while it is registered; a probe tells the two cases apart.
     """
     session.excluded.add(engine.registration.instance)
     _suspect_domain(state, session, engine)
@@ -285,7 +286,7 @@
 
 
 def _suspect_domain(state: GatewayState, session: StreamSession, engine: ForwardedUpstream) -> None:
-    """Hold a failure against the failure domain of an engine if it is not the own one."""
+    """Record a failure against the engine's failure domain, unless it is this box's own."""
     domain = engine.registration.failure_domain
     if domain != state.settings.box.failure_domain:
         session.failed_domains.add(domain)
@@ -295,7 +296,10 @@
 async def _identify_failed_engines(
     state: GatewayState, session: StreamSession, path: ChosenPath
 ) -> None:
-    """Find out which engines of a broken run are dead, and avoid those."""
+    """Probe the engines of a broken attempt, and exclude those that are dead.
+
+    If none is found dead, the first engine is excluded.
+    """
     head = path.head.registration.instance
     if await find_unreachable(state, path.engines, session.dead) or head in session.dead:
         return
--- a/src/ledgeladder/daemons/gateway/stream_events.py
+++ b/src/ledgeladder/daemons/gateway/stream_events.py
@@ -1,4 +1,4 @@
-"""Passing the events of one run on to the caller."""
+"""Forwarding of the events of one attempt to the caller."""
 
 from __future__ import annotations
 
@@ -30,29 +30,30 @@
     answer: OpenAnswer,
     started_at: float,
 ) -> tuple[AttemptResult, str]:
-    """Pass whole events on until the answer ends; those that the caller has are left out.
+    """Forward whole events until the answer ends, skipping those that the caller already has.
 
     Args:
         state: The process's state.
-        exchange: The answering side.
+        exchange: The exchange with the caller.
         session: The caller's stream.
         path: The path.
         answer: The engine's answer.
-        started_at: When the run was sent, on the monotonic clock.
+        started_at: When the attempt was sent, on the monotonic clock.
 
     Returns:
-        How the run ended, and a few words why, for the log.
+        The result of the attempt, and its reason for the log.
 
     Raises:
         AnswerBrokenError: If the answer ends early.
-        AnswerLostError: If an engine of the path is dead, or silent for too long.
-        ValueError: If an event grows too long.
+        AnswerLostError: If an engine of the path is dead, or the stream stalls for too long.
+        ValueError: If an event exceeds the size limit.
     """
     buffer = EventBuffer()
     while True:
         part = await read_watched(state, session, path, answer)
-        # A read that was done already returns although the run is cancelled; the cancellation would
-        # then cut the write, and the next run would start after events that were never written.
+        # A read that has already completed returns even if the attempt is cancelled. The
+        # cancellation would then interrupt the write, and the next attempt would resume after
+        # events that were never written.
         _raise_if_interrupted(session)
         if part is None:
             if buffer.pending:
@@ -71,10 +72,10 @@
 
 
 def _raise_if_interrupted(session: StreamSession) -> None:
-    """Raise an error if an engine of the run was found dead.
+    """Check whether an engine of the attempt was found dead.
 
     Raises:
-        AnswerLostError: If so.
+        AnswerLostError: If an engine was found dead.
     """
     if session.interrupted:
         raise AnswerLostError("an engine of the path was found dead by another request")
@@ -83,7 +84,7 @@
 def _record_events(
     state: GatewayState, session: StreamSession, path: ChosenPath, started_at: float
 ) -> None:
-    """Take the times of new events, and note that the engines of the path work."""
+    """Record the times of new events, and mark the engines of the path as alive."""
     now = anyio.current_time()
     for engine in path.engines:
         engine.proven_at = now
@@ -102,7 +103,7 @@
 async def _emit(
     exchange: Exchange, session: StreamSession, answer: OpenAnswer, data: bytes
 ) -> None:
-    """Write events to the caller, after the head if that has not been written yet."""
+    """Write events to the caller, preceded by the response head if it was not sent yet."""
     if session.started:
         await exchange.send(data)
         return
@@ -112,7 +113,7 @@
 
 
 async def _finish_answer(exchange: Exchange, session: StreamSession, answer: OpenAnswer) -> None:
-    """End the answer to the caller; the head comes first if there was no event."""
+    """End the response to the caller; send the head first if there was no event."""
     if not session.started:
         await _emit(exchange, session, answer, b"")
     await exchange.end()
--- a/src/ledgeladder/daemons/gateway/stream_paths.py
+++ b/src/ledgeladder/daemons/gateway/stream_paths.py
@@ -1,4 +1,4 @@
-"""Choosing the path of the next run of a stream."""
+"""Choice of the path for the next attempt of a stream."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     from .stream_session import StreamSession
 
 EXPECTED_ANSWER_SHARE: Final = 0.5
-"""Part of the most tokens of an answer that is expected where nothing better is known."""
+"""Expected answer length, as a share of the requested maximum, if the engine profile has none."""
 
 
 def expected_answer_tokens(permit: Permit, profile: EngineProfile) -> int:
-    """Return how many tokens an answer is likely to have."""
+    """Return the expected number of answer tokens; at least 1."""
     max_tokens = permit.facts.answer_tokens
     typical = int(profile.usual_answer) or int(max_tokens * EXPECTED_ANSWER_SHARE)
     return max(1, min(max_tokens, typical) if max_tokens else typical)
@@ -40,20 +40,21 @@
     session: StreamSession,
     expected: int,
 ) -> ChosenPath | None:
-    """Choose the path of the next run, giving up one wish after the other until there is one.
+    """Choose the path of the next attempt, relaxing the constraints until one is found.
 
-    First other failure domains that seem cut off are left out, then only engines that failed this
-    request, then only those that were found dead; at last engines that seem full are tried.
+    The first search leaves out suspected failure domains and the engines that failed this request.
+    The next ones admit the suspected domains, then engines that failed but are not dead. The last
+    one leaves out failed engines again and admits engines above their usual load limit.
 
     Args:
         state: The process's state.
         permit: What the request may do.
-        profile: Figures of the engines.
+        profile: Performance data of the pool's engines.
         session: The caller's stream.
-        expected: Tokens that the answer is likely to have.
+        expected: Expected number of answer tokens.
 
     Returns:
-        The path, or None if no engines that may be used cover all layers.
+        The path, or None if the eligible engines do not cover all layers.
     """
     request_grants(state, permit.pool.name)
     request = _path_request(state, permit, session, expected)
@@ -75,10 +76,10 @@
 def _path_request(
     state: GatewayState, permit: Permit, session: StreamSession, expected: int
 ) -> PathRequest:
-    """Return the request for a path.
+    """Return the parameters of the search for a path.
 
-    Of the entry boxes, those of this failure domain are taken to use the same engines, and all of
-    them the same links.
+    Load is extrapolated from this box to others: the entry boxes of one failure domain are assumed
+    to use the same engines, and all entry boxes the same links.
     """
     now = anyio.current_time()
     return PathRequest(
@@ -101,7 +102,7 @@
     session: StreamSession,
     expected: int,
 ) -> MissingPath:
-    """Say why `choose_attempt_path` found none, for logs and the answer."""
+    """Return why `choose_attempt_path` found no path, for logs and the response."""
     return explain_no_path(
         profile,
         state.table.pools.get(permit.pool.name, []),
@@ -114,7 +115,7 @@
 def _is_avoided(
     state: GatewayState, session: StreamSession, engine: ForwardedUpstream, now: float
 ) -> bool:
-    """Tell whether an engine is in another failure domain that seems cut off."""
+    """Return whether an engine is in another failure domain that is suspected to be cut off."""
     domain = engine.registration.failure_domain
     if domain == state.settings.box.failure_domain:
         return False
--- a/src/ledgeladder/daemons/gateway/stream_session.py
+++ b/src/ledgeladder/daemons/gateway/stream_session.py
@@ -1,4 +1,4 @@
-"""State of one caller's stream over all of its runs."""
+"""State of one caller's stream across all of its attempts."""
 
 from __future__ import annotations
 
@@ -18,83 +18,84 @@
 
 
 class AttemptResult(StrEnum):
-    """How one run of a stream ended."""
+    """Result of one attempt of a stream."""
 
     COMPLETE = "complete"
-    """The last event was passed on."""
+    """The last event was forwarded."""
 
     REFUSED = "refused"
-    """An engine refused before anything ran."""
+    """An engine refused the request before executing any of it."""
 
     NOT_SENT = "not-sent"
-    """The first engine could not be reached."""
+    """The first engine was unreachable or applied back-pressure; nothing was sent."""
 
     LOST = "lost"
-    """The run broke off, of which some may have been passed on; or the engine answered with a
-    failure of its own, which is kept for the case that no other run succeeds."""
+    """The attempt broke off, possibly after some events were forwarded; or the engine answered with
+    an error, which is forwarded if no other attempt succeeds."""
 
 
 class StreamSession(msgspec.Struct, kw_only=True):
-    """One caller's stream over all of its runs."""
+    """One caller's stream across all of its attempts."""
 
     order: EventOrder
-    """Which events the caller has."""
+    """Order and id of the events that the caller has received."""
 
     timeouts: StreamPatience
-    """How long its silence is borne."""
+    """Stall timeouts."""
 
     tokens: int
-    """Tokens of prompt and answer that the request is likely to have; each takes KV cache for each
-    layer."""
+    """Expected number of prompt and answer tokens; each occupies KV cache in every layer."""
 
     excluded: set[str] = msgspec.field(default_factory=set)
-    """Runs of engines that failed or refused this request; used again only if no path is left
+    """Instances of engines that failed or refused this request; reused only if no path exists
     without them."""
 
     failed_domains: set[str] = msgspec.field(default_factory=set)
     """Other failure domains whose engines failed or refused this request."""
 
     dead: set[str] = msgspec.field(default_factory=set)
-    """Runs of engines that were found dead while they carried this request; never used again."""
+    """Instances of engines that were found dead while serving this request; never reused."""
 
     tried: set[str] = msgspec.field(default_factory=set)
-    """Runs of engines on the paths that it was sent over."""
+    """Instances of engines on the paths of all attempts."""
 
     sent: int = 0
-    """Times it was sent, refused ones included."""
+    """Times that the request was sent, including refused attempts."""
 
     attempts: int = 0
-    """Runs that count towards the most attempts: those on first engines that are not dead."""
+    """Attempts that count towards the route's `max_attempts`; those whose first engine died do
+    not."""
 
     refusals: int = 0
-    """Times that a path refused it."""
+    """Attempts that were refused."""
 
     trace: RequestTrace = msgspec.field(default_factory=RequestTrace)
-    """Takes what is learnt, for the log line at the end."""
+    """Collects data on the request for its log line."""
 
     started: bool = False
-    """True once the caller has a head."""
+    """True once the response head was sent to the caller."""
 
     missing: MissingPath | None = None
-    """Why no further path was found; None if one was found each time."""
+    """Why the last search for a path failed; None if none failed."""
 
     failure: OpenAnswer | None = None
-    """Failure that an engine answered with."""
+    """Error response of an engine."""
 
     failure_body: bytes = b""
-    """Its body."""
+    """Body of `failure`."""
 
     pace: Pace = msgspec.field(default_factory=Pace)
-    """Gaps between events, in seconds; its floor is the shortest gap of `patience`."""
+    """Gaps between events, in seconds; its floor is the first gap timeout of `timeouts`."""
 
     last_progress_at: float = 0.0
-    """When the newest event was passed on, or when the request arrived, on the monotonic clock."""
+    """When the newest event was forwarded, or else when the request arrived, on the monotonic
+    clock."""
 
     emitting: bool = False
-    """True while events that count as passed on are being written to the caller."""
+    """True while events that `order` counts as delivered are being written to the caller."""
 
     interrupted: bool = False
-    """True if an engine of the current run was found dead; it passes on nothing more."""
+    """True if an engine of the current attempt was found dead; no more events are forwarded."""
 
     def __post_init__(self) -> None:
         self.pace = Pace(floor=self.timeouts.gap_look)
--- a/tests/daemons/gateway/builders.py
+++ b/tests/daemons/gateway/builders.py
@@ -1,4 +1,4 @@
-"""Settings, engines and paths for tests of parts of a gateway without processes."""
+"""Builders of settings, state, engines and paths for unit tests of the gateway."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 
 def gateway_state() -> GatewayState:
-    held = settings()
+    gateway_settings = settings()
     return GatewayState(
-        settings=held,
-        start_queue=build_admission_queue(held),
-        upstream_queue=build_admission_queue(held),
+        settings=gateway_settings,
+        start_queue=build_admission_queue(gateway_settings),
+        upstream_queue=build_admission_queue(gateway_settings),
     )
 
 
@@ -42,5 +42,5 @@
 
 
 def path_over(*engines: ForwardedUpstream) -> ChosenPath:
-    """Return a path over engines whose layers do not matter."""
+    """Return a path over some engines, without layers."""
     return ChosenPath(parts=(), engines=engines, cost=1.0)
--- a/tests/daemons/gateway/test_stream_attempt.py
+++ b/tests/daemons/gateway/test_stream_attempt.py
@@ -1,4 +1,4 @@
-"""Losses that are found while events are being passed on."""
+"""Attempts of a stream whose engines are lost or refuse the request."""
 
 from __future__ import annotations
 
@@ -34,43 +34,43 @@
 )
 
 
-def interrupted(*, emitting: bool) -> tuple[bool, StreamSession]:
-    """Report an engine dead in the middle of a run; tells whether the run went on."""
+def run_with_loss(*, emitting: bool) -> tuple[bool, StreamSession]:
+    """Report an engine dead during an attempt; return whether the attempt continued."""
     session = StreamSession(
         order=EventOrder(last_id=None), timeouts=TIMEOUTS, tokens=10, emitting=emitting
     )
     lost = engine()
     path = path_over(lost)
-    went_on = False
+    continued = False
 
     async def run() -> None:
-        nonlocal went_on
+        nonlocal continued
         with anyio.CancelScope() as scope, _cancel_on_loss(path, session, scope):
             note_lost(lost, 1.0)
             await anyio.sleep(0)
-            went_on = True
+            continued = True
 
     anyio.run(run)
     assert not lost.on_lost
-    return went_on, session
+    return continued, session
 
 
-def test_loss_between_events_ends_the_run_at_once() -> None:
-    went_on, session = interrupted(emitting=False)
-    assert not went_on
+def test_loss_between_events_cancels_the_attempt() -> None:
+    continued, session = run_with_loss(emitting=False)
+    assert not continued
     assert session.dead == {"i-1"}
 
 
-def test_loss_during_a_write_does_not_cut_the_write() -> None:
-    """Events that count as passed on must reach the caller: the next run starts after them."""
-    went_on, session = interrupted(emitting=True)
-    assert went_on
+def test_loss_during_a_write_does_not_interrupt_the_write() -> None:
+    """Events that count as delivered must reach the caller: the next attempt resumes after them."""
+    continued, session = run_with_loss(emitting=True)
+    assert continued
     assert session.interrupted
     assert session.dead == {"i-1"}
 
 
 class RecordingExchange:
-    """Records what reaches the caller; a write that is cut does not reach it."""
+    """Records the bytes that reach the caller; a cancelled write does not."""
 
     def __init__(self) -> None:
         self.received = b""
@@ -80,11 +80,11 @@
         self.received += data
 
 
-def test_events_read_in_the_moment_of_a_loss_are_not_counted_as_passed_on(
+def test_events_read_during_a_loss_are_not_counted_as_delivered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The read may be done already when the run is cancelled: the cancellation then hits the write,
-    and the next run would start after events that never reached the caller."""
+    """A read may complete just before the attempt is cancelled. If the cancellation hits the write,
+    the next attempt resumes after events that never reached the caller."""
     session = StreamSession(order=EventOrder(last_id=None), timeouts=TIMEOUTS, tokens=10)
     lost = engine()
     path = path_over(lost)
@@ -108,9 +108,9 @@
             await stream_events.forward_events(state, exchange, session, path, answer, 0.0)
 
     anyio.run(run)
-    passed_on = exchange.received.count(b"id:")
-    assert passed_on == session.order.delivered
-    assert (session.order.last_id is None) == (passed_on == 0)
+    received = exchange.received.count(b"id:")
+    assert received == session.order.delivered
+    assert (session.order.last_id is None) == (received == 0)
 
 
 class Accepted:
@@ -121,11 +121,11 @@
 @pytest.mark.parametrize(
     ("at_fault", "listens", "is_lost"), [(1, False, True), (1, True, False), (0, False, False)]
 )
-def test_later_engine_at_fault_is_asked_whether_it_lives(
+def test_later_engine_named_in_a_refusal_is_probed(
     monkeypatch: pytest.MonkeyPatch, at_fault: int, listens: bool, is_lost: bool
 ) -> None:
-    """The load after a loss: first engines refuse runs since a later one is dead. It must not be
-    taken for full, and get a run from every box four times a second."""
+    """A first engine refuses because a later one is dead. If that one counted as full, every box
+    would keep sending it attempts."""
 
     async def connect(address: str, *, source: str | None, seconds: float) -> Accepted:
         if listens:
@@ -149,13 +149,13 @@
 
 
 @pytest.mark.parametrize(
-    ("cause", "has_ended"), [(ConnectionRefusedError(), True), (TimeoutError(), False)]
+    ("cause", "has_exited"), [(ConnectionRefusedError(), True), (TimeoutError(), False)]
 )
-def test_engine_whose_connection_broke_is_asked_even_if_it_has_just_worked(
-    monkeypatch: pytest.MonkeyPatch, cause: Exception, has_ended: bool
+def test_engine_with_a_broken_connection_is_probed_despite_recent_progress(
+    monkeypatch: pytest.MonkeyPatch, cause: Exception, has_exited: bool
 ) -> None:
-    """An event for another request, some milliseconds before, hid that the process had ended. On a
-    link that loses packets connections break and probes are lost, and no process has ended."""
+    """Recent progress of another request must not hide that the process exited. A lost probe is no
+    proof of an exit, since a link that loses packets also breaks connections."""
 
     async def connect_tcp(address: str, source: str | None = None) -> SocketStream:
         raise cause
@@ -169,15 +169,15 @@
         for item in path.engines:
             item.proven_at = now
         await _identify_failed_engines(gateway_state(), session, path)
-        assert (path.head.ended_at >= now) is has_ended
+        assert (path.head.ended_at >= now) is has_exited
 
     anyio.run(run)
-    assert session.dead == ({"i-1"} if has_ended else set())
-    assert session.excluded == (set() if has_ended else {"i-1"})
+    assert session.dead == ({"i-1"} if has_exited else set())
+    assert session.excluded == (set() if has_exited else {"i-1"})
 
 
-def test_engine_that_had_ended_before_a_run_is_no_evidence_against_it() -> None:
-    """The load after a loss: each box finds a later engine of its paths gone by its own runs."""
+def test_engine_that_exited_before_an_attempt_does_not_count_as_reached() -> None:
+    """A request must not be blamed for the crash of an engine that died before the attempt."""
     path = path_over(engine("i-1"), engine("i-2"), engine("i-3"))
     path.engines[1].proven_at = 4.9
     path.engines[2].proven_at = 5.1
@@ -185,11 +185,11 @@
     assert [item.registration.instance for item in reached] == ["i-1", "i-3"]
 
 
-def test_engine_that_refuses_connections_is_told_to_the_control_boxes() -> None:
-    """Each box would else find out by itself, with a lost try."""
-    told = []
+def test_engine_that_refuses_connections_is_reported_to_the_control_boxes() -> None:
+    """Without the report, every box loses an attempt to find out."""
+    posted = []
     state = gateway_state()
-    link = SimpleNamespace(post=told.append)
+    link = SimpleNamespace(post=posted.append)
     state.peers = SimpleNamespace(links={"10.0.0.1": link})  # type: ignore[assignment]
     lost = engine()
     dead: set[str] = set()
@@ -198,12 +198,12 @@
         report_lost(state, lost, dead)
 
     anyio.run(run)
-    assert told == [LostReport(instance="i-1")]
+    assert posted == [LostReport(instance="i-1")]
     assert dead == {"i-1"}
     assert lost.lost_at > 0.0
 
 
-def test_only_a_refused_connection_says_that_the_process_has_ended() -> None:
+def test_only_a_refused_connection_proves_that_the_process_exited() -> None:
     for cause, is_refusal in ((ConnectionRefusedError(), True), (TimeoutError(), False)):
         failed = ConnectError("127.0.0.1:1")
         failed.__cause__ = cause
