--- a/src/ledgeladder/daemons/gateway/app.py
+++ b/src/ledgeladder/daemons/gateway/app.py
@@ -1,4 +1,4 @@
-"""Answering callers: checks, forwarding, and one log line for each request."""
+"""Serves callers: checks and forwards requests, and writes one log line for each."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from .notes import RequestTrace, log_fields
 from .plain import forward_plain
 from .stream import forward_stream
-from .waiting import is_starting, wait_for_turn
+from .waiting import is_starting, wait_for_start
 
 if TYPE_CHECKING:
     from ...http1 import Exchange, HttpRequest
@@ -26,28 +26,28 @@
 
 logger = logging.getLogger(__name__)
 
-CALLER_LEFT: Final = "caller-left"
-"""Outcome of a request whose caller closed its connection."""
+CALLER_DISCONNECTED: Final = "caller-left"
+"""Outcome of a request whose caller closed the connection."""
 
 STOPPED: Final = "broken-off: the planned stop ran out of time"
-"""Outcome of a request that was still in progress when a planned stop had to end."""
+"""Outcome of a request that was cancelled because a planned stop timed out."""
 
 
 def build_caller_site(state: GatewayState) -> HttpSite:
-    """Build what callers are served.
+    """Build the site that serves callers.
 
     Args:
-        state: The process's state.
+        state: State of the process.
     """
 
     async def handle(request: HttpRequest, exchange: Exchange) -> None:
         facts = read_caller_facts(request)
         permit: Permit | None = None
         trace = RequestTrace()
-        outcome = CALLER_LEFT
+        outcome = CALLER_DISCONNECTED
         try:
             if is_starting(state, facts, anyio.current_time()):
-                trace.wait_seconds = await wait_for_turn(state, request, facts)
+                trace.wait_seconds = await wait_for_start(state, request, facts)
             permit = permit_request(state, request, facts)
             refuse_quarantined(state, permit, request, trace)
             await _forward(state, permit, request, exchange, trace)
@@ -59,9 +59,9 @@
             state.metrics.counters[f"code-{error.problem.code.name}"] += 1
             await write_problem(exchange, error.problem)
         finally:
-            if outcome == CALLER_LEFT and state.out_of_time:
+            if outcome == CALLER_DISCONNECTED and state.out_of_time:
                 outcome = STOPPED
-            _note_request(state, request, facts, permit, trace, outcome)
+            _log_request(state, request, facts, permit, trace, outcome)
 
     return HttpSite(handler=handle, write_problem=write_problem, limits=lambda: state.limits)
 
@@ -73,14 +73,14 @@
     exchange: Exchange,
     trace: RequestTrace,
 ) -> None:
-    is_path = permit.pool.engine is not None and permit.route.kind is RequestKind.STREAM
-    if is_path:
+    needs_path = permit.pool.engine is not None and permit.route.kind is RequestKind.STREAM
+    if needs_path:
         await forward_stream(state, permit, request, exchange, trace)
     else:
         await forward_plain(state, permit, request, exchange, trace)
 
 
-def _note_request(
+def _log_request(
     state: GatewayState,
     request: HttpRequest,
     facts: CallerFacts,
@@ -102,11 +102,11 @@
         extra["route"] = permit.route.name
         extra["pool"] = permit.pool.name
         extra["account"] = permit.account
-    level = logging.INFO if outcome in ("answered", CALLER_LEFT) else logging.WARNING
+    level = logging.INFO if outcome in ("answered", CALLER_DISCONNECTED) else logging.WARNING
     logger.log(level, "request", extra=extra)
 
 
 def _version_age(state: GatewayState, now: float) -> float | None:
-    """Return how long ago the document was confirmed, in seconds; None before the first time."""
+    """Return the time since the document was confirmed, in seconds; None before the first time."""
     age = now - state.freshness.as_of
     return round(age, 2) if age < float("inf") else None
--- a/src/ledgeladder/daemons/gateway/checks.py
+++ b/src/ledgeladder/daemons/gateway/checks.py
@@ -1,4 +1,4 @@
-"""What a request may do: route, client account, time, all judged by one version of the document."""
+"""Checks a request's route, client account and deadline against one version of the document."""
 
 from __future__ import annotations
 
@@ -18,51 +18,51 @@
     from ...model.traffic import AccountKeys, RouteRule, UpstreamPool
     from .state import GatewayState
 
-STALE_RETRY_SECONDS: Final = 0.5
-"""When to come back to a box that lost touch with the control boxes: one question to them."""
+STALE_RETRY_AFTER_SECONDS: Final = 0.5
+"""Retry delay named by a box without a recently confirmed document: time to ask a control box."""
 
-START_SECONDS: Final = 1.2
-"""Time from the start of a process to a confirmed document when all boxes start at once: the
-longest election time-out of control boxes, twice the 0.6 s of `registry.election_seconds`. The
-least of the random time-outs of several boxes is shorter, which leaves room for links and syncs."""
+STARTUP_SECONDS: Final = 1.2
+"""Maximum time from process start to a confirmed document when all boxes start at once: twice
+`registry.election_seconds`, the longest election timeout of control boxes. The shortest of several
+random timeouts is lower, which leaves time for connecting and synchronizing."""
 
-START_RETRY_FLOOR_SECONDS: Final = 0.3
-"""Shortest time that a starting box names, also when it should be up already."""
+MIN_START_RETRY_AFTER_SECONDS: Final = 0.3
+"""Minimum retry delay named by a starting box, even if its startup is overdue."""
 
-STOPPING_RETRY_SECONDS: Final = 0.05
-"""When to come back to another box: at once, but not in a tight loop."""
+STOPPING_RETRY_AFTER_SECONDS: Final = 0.05
+"""Retry delay named by a stopping box: enough to avoid a tight loop, as another box can serve."""
 
 LAST_RANK: Final = sys.maxsize
-"""Rank of a request that is refused in any case: it may be so after all others."""
+"""Rank of a request that is refused in any case, and need not be answered before others."""
 
 ANSWER_MARGIN_SECONDS: Final = 0.05
-"""Taken off a caller's patience, so that the final answer reaches it in time."""
+"""Subtracted from a caller's timeout for the transmission of the final answer."""
 
 
 class Permit(msgspec.Struct, frozen=True, kw_only=True):
-    """A request after all checks."""
+    """A request that passed all checks."""
 
     facts: CallerFacts
-    """What the request says."""
+    """Facts that the caller states."""
 
     route: RouteRule
-    """Its route."""
+    """Route of the request."""
 
     pool: UpstreamPool
-    """Pool that was drawn for it."""
+    """Pool that was chosen by the route's weights."""
 
     account: str | None
-    """Client account that its key belongs to."""
+    """Client account of its key; None on routes without keys."""
 
     priority: int
-    """Its rank."""
+    """Priority of the request; 0 is the most urgent."""
 
     deadline: float
-    """When it must have its final answer, on the monotonic clock: the route's time, or the caller's
-    patience less `ANSWER_MARGIN_SECONDS` if that is shorter."""
+    """Monotonic time by which the final answer is due: the route's timeout, or the caller's timeout
+    less `ANSWER_MARGIN_SECONDS` if that is shorter, after the request's arrival."""
 
     version: int
-    """Version of the document that it was judged by."""
+    """Version of the document against which it was checked."""
 
 
 def refusal(code: ResultCode, detail: str, retry_after: float | None = None) -> ProblemError:
@@ -73,37 +73,37 @@
 def permit_request(state: GatewayState, request: HttpRequest, facts: CallerFacts) -> Permit:
     """Check a request against the document in force.
 
-    A box that cannot be sure to hold the newest document refuses what depends on it: a key may
-    have been taken away, and a missing route may have been added. Routes that need no key are
-    served on, once any document was confirmed.
+    A box without a recently confirmed document refuses what depends on the newest one: a key may
+    have been revoked, and a missing route may have been added. Public routes continue to be served
+    once any document was confirmed.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         request: The request.
-        facts: What it says.
+        facts: Facts that its caller states.
 
     Returns:
-        What it may do.
+        The permit of the request.
 
     Raises:
-        ProblemError: If it is refused; it has not run.
+        ProblemError: If it is refused. No upstream has run it.
     """
     configuration = state.configuration
     if state.refusing:
-        raise refusal(ResultCode.STOPPING, "the box stops", STOPPING_RETRY_SECONDS)
+        raise refusal(ResultCode.STOPPING, "the box stops", STOPPING_RETRY_AFTER_SECONDS)
     if configuration is None:
         raise _starting(state, "no document yet")
-    is_sure = check_freshness(state, anyio.current_time())
+    is_fresh = check_freshness(state, anyio.current_time())
     if not state.confirmed:
         raise _starting(state, "document not confirmed")
     route = find_route(state.index, facts.host, facts.path)
     if route is None:
-        if not is_sure:
+        if not is_fresh:
             raise _stale(state)
         raise refusal(ResultCode.NOT_FOUND, f"no route for {facts.host}{facts.path}")
     account: AccountKeys | None = None
     if state.index.needs_keys and not route.public:
-        if not is_sure:
+        if not is_fresh:
             raise _stale(state)
         account = state.index.accounts.get(facts.key or "")
         if account is None:
@@ -125,24 +125,24 @@
 
 
 def _priority(route: RouteRule, account: AccountKeys | None) -> int:
-    """Return the rank of a request: its account's own, or else its route's."""
+    """Return the priority of a request: that of its account, or else that of its route."""
     if account is None or account.priority is None:
         return route.priority
     return account.priority
 
 
 def rank_request(state: GatewayState, route: RouteRule, facts: CallerFacts) -> int:
-    """Return the rank of a request that was not permitted yet; 0 is the most urgent."""
+    """Return the priority of a request before its permit is issued; 0 is the most urgent."""
     return _priority(route, state.index.accounts.get(facts.key or ""))
 
 
 def _starting(state: GatewayState, detail: str) -> ProblemError:
-    """Refuse until the box is likely to be up, not in between: callers come back once or twice."""
-    left = START_SECONDS - (anyio.current_time() - state.started_at)
-    return refusal(ResultCode.STARTING, detail, max(left, START_RETRY_FLOOR_SECONDS))
+    """Build a refusal that names the expected end of startup: callers retry only once or twice."""
+    seconds_left = STARTUP_SECONDS - (anyio.current_time() - state.started_at)
+    return refusal(ResultCode.STARTING, detail, max(seconds_left, MIN_START_RETRY_AFTER_SECONDS))
 
 
 def _stale(state: GatewayState) -> ProblemError:
     age = anyio.current_time() - state.freshness.as_of
     detail = f"document {state.version} was last confirmed {age:.1f} s ago"
-    return refusal(ResultCode.BELIEF_STALE, detail, STALE_RETRY_SECONDS)
+    return refusal(ResultCode.BELIEF_STALE, detail, STALE_RETRY_AFTER_SECONDS)
--- a/src/ledgeladder/daemons/gateway/main.py
+++ b/src/ledgeladder/daemons/gateway/main.py
@@ -1,4 +1,4 @@
-"""The gateway process: callers on one side, registered upstreams on the other."""
+"""The gateway process, which connects callers with registered upstreams."""
 
 from __future__ import annotations
 
@@ -34,25 +34,25 @@
 logger = logging.getLogger(__name__)
 
 NOTICE_SHARE: Final = 0.36
-"""Part of the time for a planned stop in which new connections are still served, 2.9 s of 8: the
-balancer asks once a second and takes two refusals in a row. Streams last up to 4 s."""
+"""Share of a planned stop's time in which new connections are still served: the load balancer polls
+once a second and needs two failures in a row. The rest is for streams in progress."""
 
 STOP_MARGIN_SECONDS: Final = 0.4
-"""Left of the time for a planned stop when requests in progress are given up."""
+"""Time before the end of a planned stop at which requests in progress are cancelled."""
 
 POLL_SECONDS: Final = 0.05
-"""How often a planned stop looks whether the last request has ended."""
+"""Interval at which a planned stop checks whether requests are still in progress."""
 
-CONTROL_LINKS: Final = 3
-"""Links to control boxes: two may be lost without a gap, and on a site with three control boxes
-none is left out."""
+MAX_CONTROL_LINKS: Final = 3
+"""Links to control boxes. Two may be lost without an interruption, and a site with three control
+boxes has a link to each."""
 
 STALE_SECONDS: Final = 2.0
-"""Without a confirmed document for this long, two questions to each linked control box, all known
-ones are tried."""
+"""Age of the last confirmation after which all known control boxes are tried. Linked control boxes
+are asked twice within this time."""
 
-EXPIRE_SECONDS: Final = 2.0
-"""How often idle connections to upstreams are looked through."""
+EXPIRY_CHECK_SECONDS: Final = 2.0
+"""Interval at which expired idle connections to upstreams are closed."""
 
 
 def build_state(settings: GatewaySettings) -> GatewayState:
@@ -77,18 +77,18 @@
         own_address=own,
         link_port=settings.cluster.link_port,
         serve=serve,
-        limit=CONTROL_LINKS,
+        limit=MAX_CONTROL_LINKS,
         is_stale=is_stale,
     )
     return state
 
 
 async def run_gateway(settings: GatewaySettings, path: Path) -> None:
-    """Run a gateway process until it is told to stop.
+    """Run a gateway process until it receives a stop signal.
 
     Args:
         settings: Settings of the process.
-        path: File that they were read from, which is read again when it changes.
+        path: Settings file, which is read again when it changes.
     """
     state = build_state(settings)
     peers = state.peers
@@ -122,7 +122,7 @@
         metrics_child(
             f"{settings.box.address}:{settings.cluster.metrics_port}", lambda: metrics_lines(state)
         ),
-        Child(name="expiry", run=lambda: _expire(state), restart=Restart.ALWAYS),
+        Child(name="expiry", run=lambda: _close_expired_connections(state), restart=Restart.ALWAYS),
     ]
     async with anyio.create_task_group() as tasks:
 
@@ -137,16 +137,18 @@
     logger.info("gateway stopped", extra={"counters": dict(state.metrics.counters)})
 
 
-async def _expire(state: GatewayState) -> None:
+async def _close_expired_connections(state: GatewayState) -> None:
     while True:
-        await anyio.sleep(EXPIRE_SECONDS)
+        await anyio.sleep(EXPIRY_CHECK_SECONDS)
         await state.connections.close_expired()
 
 
 async def _stop(state: GatewayState, callers: HttpSite) -> None:
-    """Stop without cutting a request: call unready, serve on, refuse, end idle connections, finish.
+    """Stop without cancelling requests, if they complete in time.
 
-    What is still in progress when the time is over is cut and logged.
+    The box reports itself as not ready but still serves, then refuses new requests, closes idle
+    connections and waits for requests in progress. Those that do not complete in time are
+    cancelled and logged.
     """
     state.stopping = True
     callers.stopping = True
--- a/src/ledgeladder/daemons/gateway/metrics.py
+++ b/src/ledgeladder/daemons/gateway/metrics.py
@@ -13,7 +13,7 @@
 
 
 def metrics_lines(state: GatewayState) -> list[str]:
-    """Return counters, histograms and gauges of a gateway."""
+    """Return the lines for a gateway's counters, histograms and gauges."""
     now = anyio.current_time()
     metrics = state.metrics
     gauges = {
--- a/src/ledgeladder/daemons/gateway/readiness.py
+++ b/src/ledgeladder/daemons/gateway/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this box wants new connections."""
+"""The readiness endpoint, which tells load balancers whether this box accepts connections."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 def is_ready(state: GatewayState) -> bool:
-    """Tell whether a caller that connects now is likely to be served.
+    """Return whether a caller that connects now is likely to be served.
 
-    True if no planned stop has begun, the document is sure to be the newest, and any upstream is
+    True if no planned stop has begun, the document is confirmed as the newest, and any upstream is
     known.
     """
     if state.stopping or state.configuration is None:
@@ -31,7 +31,7 @@
 
 
 def build_ready_site(state: GatewayState) -> HttpSite:
-    """Build what the balancer asks."""
+    """Build the site that answers readiness checks of the load balancer."""
 
     async def handle(request: HttpRequest, exchange: Exchange) -> None:
         if request.target.decode("latin-1").partition("?")[0] != READY_PATH:
--- a/src/ledgeladder/daemons/gateway/waiting.py
+++ b/src/ledgeladder/daemons/gateway/waiting.py
@@ -1,6 +1,6 @@
-"""Letting requests wait until they can be served, and letting them go on.
+"""Queues requests that cannot be served yet, and admits them once they can.
 
-That is at a box that is starting, and while all upstreams that could run a request want no work.
+Requests wait while the box is starting, and while no upstream that could run them accepts work.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from ...routing.route_index import find_route
 from ...routing.wait_queue import enter, leave, next_to_go, reading_seconds, wait_until
 from .backpressure import request_grants
-from .checks import LAST_RANK, START_SECONDS, rank_request
+from .checks import LAST_RANK, STARTUP_SECONDS, rank_request
 from .state import answer_pace, check_freshness
 
 if TYPE_CHECKING:
@@ -27,30 +27,30 @@
     from .notes import RequestTrace
     from .state import AdmissionQueue, GatewayState
 
-LOOK_SECONDS: Final = 0.01
-"""How often a box with waiting requests looks whether it can serve: a fiftieth of the time in which
-callers expect a first event."""
+POLL_SECONDS: Final = 0.01
+"""Interval at which a box with waiting requests checks whether it can serve one; short compared
+with the time to a first event."""
 
-LOOK_AGAIN_SECONDS: Final = 0.05
-"""How long a request waits at least before it looks for an upstream again: a search for a path
-takes some milliseconds."""
+MIN_WAIT_SECONDS: Final = 0.05
+"""Minimum time before a request searches for an upstream again, because a path search costs some
+milliseconds of processor time."""
 
 
 def is_starting(state: GatewayState, facts: CallerFacts, now: float) -> bool:
-    """Tell whether this box cannot serve a request yet and is likely to within a moment.
+    """Return whether this box cannot serve a request yet but is likely to soon.
 
-    That is so for as long as a start usually takes. Those that come while earlier ones still wait
-    for their turn wait as well, so that they do not go before them.
+    That is possible only during the usual startup time. Requests that arrive while others still
+    wait for admission also wait, so as not to overtake them.
     """
-    if state.refusing or now >= state.started_at + START_SECONDS:
+    if state.refusing or now >= state.started_at + STARTUP_SECONDS:
         return False
-    return bool(state.start_queue.queue.waiting) or _rank(state, facts, now) is None
+    return bool(state.start_queue.queue.waiting) or _admission_rank(state, facts, now) is None
 
 
-def _rank(state: GatewayState, facts: CallerFacts, now: float) -> int | None:
+def _admission_rank(state: GatewayState, facts: CallerFacts, now: float) -> int | None:
     """Return the rank of a request, or None while it cannot be served.
 
-    A box that stops or does not know the route can answer at once: it refuses.
+    A box that is stopping or does not know the route refuses the request, which needs no wait.
     """
     if state.refusing:
         return LAST_RANK
@@ -60,16 +60,16 @@
     if route is None:
         return LAST_RANK
     pools = [state.configuration.pools[item.pool] for item in route.pools if item.weight > 0]
-    if not all(_is_reachable(state, pool) for pool in pools):
+    if not all(_has_enough_upstreams(state, pool) for pool in pools):
         return None
     return rank_request(state, route, facts)
 
 
-def _is_reachable(state: GatewayState, pool: UpstreamPool) -> bool:
-    """Tell whether enough upstreams of a pool are known.
+def _has_enough_upstreams(state: GatewayState, pool: UpstreamPool) -> bool:
+    """Return whether enough upstreams of a pool are known.
 
-    That is one of a plain service, and of engines those of one failure domain that hold all layers:
-    with fewer, paths would cross between failure domains, and fill links that all requests share.
+    A plain service needs one upstream. Engines must cover all layers within one failure domain;
+    otherwise paths would need inter-domain hops and load the links that all requests share.
     """
     known = state.table.pools.get(pool.name, [])
     if pool.engine is None:
@@ -80,46 +80,46 @@
     return any(covers_layers(engines, pool.engine.layers) for engines in domains.values())
 
 
-async def wait_for_turn(state: GatewayState, request: HttpRequest, facts: CallerFacts) -> float:
-    """Let a request wait until the box can serve, its time is short or the start takes too long.
+async def wait_for_start(state: GatewayState, request: HttpRequest, facts: CallerFacts) -> float:
+    """Let a request wait until the box has started or the request's waiting time is used up.
 
-    Whoever calls judges it then, and refuses it if the box still cannot serve. A caller that leaves
-    cancels the wait.
+    The request is checked afterwards, and refused if the box still cannot serve it. A caller that
+    disconnects cancels the wait.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         request: The request.
-        facts: What it says.
+        facts: Facts that its caller states.
 
     Returns:
-        How long it waited, in seconds; 0 if it could not wait.
+        Time that it waited, in seconds; 0 if it could not wait.
     """
     now = anyio.current_time()
-    waits = state.start_queue
+    admission = state.start_queue
     until = wait_until(
         arrived_at=request.arrived_at,
         patience=facts.patience,
-        served_at=state.started_at + START_SECONDS,
+        served_at=state.started_at + STARTUP_SECONDS,
     )
     if until <= now:
         return 0.0
-    entered = enter(
-        waits.queue,
+    waiting_request = enter(
+        admission.queue,
         size=len(request.body),
-        pace=lambda: _reading_pace(state, facts),
+        pace=lambda: _prefill_seconds(state, facts),
         is_resumed=facts.resume_after is not None,
-        rank=lambda: _rank(state, facts, anyio.current_time()),
+        rank=lambda: _admission_rank(state, facts, anyio.current_time()),
     )
-    if entered is None:
+    if waiting_request is None:
         state.metrics.counters["start-queue-full"] += 1
         return 0.0
-    if await _wait_for_turn(waits, entered, until - now):
+    if await _wait_for_admission(admission, waiting_request, until - now):
         state.metrics.counters["start-queue-served"] += 1
     return anyio.current_time() - now
 
 
-def _reading_pace(state: GatewayState, facts: CallerFacts) -> float:
-    """Return how long the slowest engines take to read a request's prompt, in seconds."""
+def _prefill_seconds(state: GatewayState, facts: CallerFacts) -> float:
+    """Return how long the slowest engines take to prefill the prompt, in seconds."""
     if state.configuration is None or state.refusing:
         return 0.0
     profiles = [pool.engine for pool in state.configuration.pools.values() if pool.engine]
@@ -135,127 +135,132 @@
     seconds: float,
     until: float,
 ) -> bool:
-    """Let a request wait until upstreams of its pool want work again.
+    """Let a request wait until upstreams of its pool accept work again.
 
-    Who could not be served any more then is not kept waiting, nor who comes after so many others
-    that its turn would come too late.
+    A request does not wait if it could not be served in time, either because the upstreams back off
+    for too long or because too many requests wait before it.
 
     Args:
-        state: The process's state.
-        permit: What the request may do.
+        state: State of the process.
+        permit: Permit of the request.
         request: The request.
-        trace: Takes how long it waited for its turn.
-        seconds: When that is likely to be, from now on.
-        until: Until when it may wait, on the monotonic clock.
+        trace: Trace of the request, to which the waiting time is added.
+        seconds: Expected time until upstreams accept work, in seconds.
+        until: Monotonic time until which it may wait.
 
     Returns:
-        True if its turn has come; whoever calls chooses an upstream then. False if it is to be
-        refused.
+        True if the request is admitted and an upstream may be chosen; False if it is to be refused.
     """
-    now, waits = anyio.current_time(), state.upstream_queue
-    if now + seconds + len(waits.queue.waiting) * waits.admission_pace.mean > until:
+    now, admission = anyio.current_time(), state.upstream_queue
+    if now + seconds + len(admission.queue.waiting) * admission.admission_pace.mean > until:
         return False
-    look_at = now + min(seconds, LOOK_AGAIN_SECONDS)
+    check_from = now + min(seconds, MIN_WAIT_SECONDS)
 
     def rank() -> int | None:
         at = anyio.current_time()
         return (
-            permit.priority if at >= look_at and _takes_requests(state, permit.pool, at) else None
+            permit.priority if at >= check_from and _has_capacity(state, permit.pool, at) else None
         )
 
-    entered = enter(
-        waits.queue,
+    waiting_request = enter(
+        admission.queue,
         size=len(request.body),
-        pace=lambda: _upstream_pace(state, permit),
+        pace=lambda: _admission_delay(state, permit),
         is_resumed=permit.facts.resume_after is not None,
         rank=rank,
     )
-    if entered is None:
+    if waiting_request is None:
         state.metrics.counters["upstream-queue-full"] += 1
         return False
-    has_turn = await _wait_for_turn(waits, entered, until - now)
-    if has_turn:
+    is_admitted = await _wait_for_admission(admission, waiting_request, until - now)
+    if is_admitted:
         trace.wait_seconds += anyio.current_time() - now
-    state.metrics.counters["upstream-queue-served" if has_turn else "upstream-queue-late"] += 1
-    return has_turn
+    state.metrics.counters["upstream-queue-served" if is_admitted else "upstream-queue-late"] += 1
+    return is_admitted
 
 
-def _takes_requests(state: GatewayState, pool: UpstreamPool, now: float) -> bool:
-    """Tell whether upstreams of a pool want work: any service, or an engine for each layer.
+def _has_capacity(state: GatewayState, pool: UpstreamPool, now: float) -> bool:
+    """Return whether upstreams of a pool accept work: any service, or an engine for each layer.
 
-    All that wait for a pool look at the same time, so that what was found is kept for a moment.
+    The result is cached briefly, because all requests that wait for a pool check at the same time.
     """
-    looked = state.upstream_queue.capacity_checks
-    at, found = looked.get(pool.name, (float("-inf"), False))
-    if now - at < LOOK_SECONDS / 2:
-        return found
+    checks = state.upstream_queue.capacity_checks
+    at, has_capacity = checks.get(pool.name, (float("-inf"), False))
+    if now - at < POLL_SECONDS / 2:
+        return has_capacity
     known = state.table.pools.get(pool.name, [])
     if pool.engine is None:
-        found = any(
+        has_capacity = any(
             takes_work(item, now) and not is_at_most(item, now, state.entry_count) for item in known
         )
     else:
-        found = covers_layers((item for item in known if is_usable(item, now)), pool.engine.layers)
-    if not found:
-        # Also who waits needs requests that are lent.
+        has_capacity = covers_layers(
+            (item for item in known if is_usable(item, now)), pool.engine.layers
+        )
+    if not has_capacity:
+        # Waiting requests need rate grants too.
         request_grants(state, pool.name)
-    looked[pool.name] = (now, found)
-    return found
+    checks[pool.name] = (now, has_capacity)
+    return has_capacity
 
 
-def _upstream_pace(state: GatewayState, permit: Permit) -> float:
-    """Return how long the next request is to wait after one that went on, in seconds.
+def _admission_delay(state: GatewayState, permit: Permit) -> float:
+    """Return the delay before the next admission, in seconds.
 
-    What rested gets little at first: engines a prompt at a time, services what they work off, of
-    all boxes together.
+    Limits the load on upstreams after a back-off: engines get one prompt at a time, and services
+    what they can complete, shared among all entry boxes.
     """
     pool = permit.pool
     if pool.engine is not None:
         return reading_seconds(pool.engine, permit.facts.prompt_tokens)
     now = anyio.current_time()
-    wanting = [item for item in state.table.pools.get(pool.name, []) if takes_work(item, now)]
-    slots = sum(item.registration.slots for item in wanting)
+    accepting = [item for item in state.table.pools.get(pool.name, []) if takes_work(item, now)]
+    slots = sum(item.registration.slots for item in accepting)
     return answer_pace(state, pool.name).mean * state.entry_count / max(1, slots)
 
 
-async def _wait_for_turn(waits: AdmissionQueue, entered: WaitingRequest, seconds: float) -> bool:
-    """Wait until a request may go on; False if the time is over first."""
-    turn = waits.admissions[entered.ticket] = anyio.Event()
-    if len(waits.queue.waiting) == 1:
-        waits.waiting_since = anyio.current_time()
-    waits.has_waiting.set()
+async def _wait_for_admission(
+    admission: AdmissionQueue, waiting_request: WaitingRequest, seconds: float
+) -> bool:
+    """Wait until a request is admitted; return False if the wait times out first."""
+    admitted = admission.admissions[waiting_request.ticket] = anyio.Event()
+    if len(admission.queue.waiting) == 1:
+        admission.waiting_since = anyio.current_time()
+    admission.has_waiting.set()
     try:
         with anyio.move_on_after(seconds):
-            await turn.wait()
+            await admitted.wait()
     finally:
-        del waits.admissions[entered.ticket]
-        leave(waits.queue, entered)
-    return turn.is_set()
+        del admission.admissions[waiting_request.ticket]
+        leave(admission.queue, waiting_request)
+    return admitted.is_set()
 
 
-async def run_queue(waits: AdmissionQueue) -> None:
-    """Let waiting requests go on, one after the other, once they can be served, for ever."""
+async def run_queue(admission: AdmissionQueue) -> None:
+    """Admit waiting requests one after the other once they can be served; runs until cancelled."""
     while True:
-        if not waits.queue.waiting:
-            await waits.has_waiting.wait()
-            waits.has_waiting = anyio.Event()
-        while waits.queue.waiting:
-            await anyio.sleep(_let_next_go(waits))
+        if not admission.queue.waiting:
+            await admission.has_waiting.wait()
+            admission.has_waiting = anyio.Event()
+        while admission.queue.waiting:
+            await anyio.sleep(_admit_next(admission))
 
 
-def _let_next_go(waits: AdmissionQueue) -> float:
-    """Let the next request go on, if any can be served.
+def _admit_next(admission: AdmissionQueue) -> float:
+    """Admit the next request, if any can be served.
 
     Returns:
-        How long the one after it is to wait, in seconds.
+        Delay before the next call, in seconds.
     """
-    request = next_to_go(waits.queue)
+    request = next_to_go(admission.queue)
     if request is None:
-        return LOOK_SECONDS
-    leave(waits.queue, request)
-    waits.admissions[request.ticket].set()
+        return POLL_SECONDS
+    leave(admission.queue, request)
+    admission.admissions[request.ticket].set()
     now = anyio.current_time()
-    if waits.queue.waiting or waits.last_admitted_at > waits.waiting_since:
-        note_gap(waits.admission_pace, now - max(waits.last_admitted_at, waits.waiting_since))
-    waits.last_admitted_at = now
+    if admission.queue.waiting or admission.last_admitted_at > admission.waiting_since:
+        note_gap(
+            admission.admission_pace, now - max(admission.last_admitted_at, admission.waiting_since)
+        )
+    admission.last_admitted_at = now
     return request.pace()
--- a/tests/daemons/gateway/test_app.py
+++ b/tests/daemons/gateway/test_app.py
@@ -1,4 +1,4 @@
-"""What the log says of requests that were not answered."""
+"""Logged outcome of requests that were not answered."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 @pytest.mark.parametrize(
-    ("out_of_time", "outcome"), [(False, app.CALLER_LEFT), (True, app.STOPPED)]
+    ("out_of_time", "outcome"), [(False, app.CALLER_DISCONNECTED), (True, app.STOPPED)]
 )
-def test_request_cut_by_a_stop_is_not_laid_on_its_caller(
+def test_request_cancelled_by_a_stop_is_not_attributed_to_its_caller(
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
     out_of_time: bool,
--- a/tests/daemons/gateway/test_checks.py
+++ b/tests/daemons/gateway/test_checks.py
@@ -1,4 +1,4 @@
-"""When callers of a box that has just started are told to come back."""
+"""Retry delay that a starting box names to its callers."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 import pytest
 
 from ledgeladder.daemons.gateway.checks import (
-    START_RETRY_FLOOR_SECONDS,
-    START_SECONDS,
+    MIN_START_RETRY_AFTER_SECONDS,
+    STARTUP_SECONDS,
     permit_request,
 )
 from ledgeladder.model import ProblemError, ResultCode
@@ -17,10 +17,10 @@
 
 @pytest.mark.parametrize(
     ("uptime", "expected"),
-    [(0.0, START_SECONDS), (0.8, START_SECONDS - 0.8), (9.0, START_RETRY_FLOOR_SECONDS)],
+    [(0.0, STARTUP_SECONDS), (0.8, STARTUP_SECONDS - 0.8), (9.0, MIN_START_RETRY_AFTER_SECONDS)],
 )
-def test_starting_box_names_the_time_at_which_it_will_be_up(uptime: float, expected: float) -> None:
-    """Callers that were told half a second each time were refused once more and gave up."""
+def test_starting_box_names_the_expected_end_of_startup(uptime: float, expected: float) -> None:
+    """Guards against a retry delay that ends before startup, after which callers give up."""
     state = gateway_state()
 
     async def ask() -> ProblemError:
--- a/tests/daemons/gateway/test_rate_limits.py
+++ b/tests/daemons/gateway/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""What a gateway takes in of limits, whom it tells, and what it asks for."""
+"""A gateway applies and reports rate limits of upstreams, and requests rate grants."""
 
 from __future__ import annotations
 
@@ -32,23 +32,23 @@
 
 
 class ControlBox:
-    """A link that keeps what is sent over it."""
+    """A link that records the messages sent over it."""
 
     def __init__(self) -> None:
-        self.news: list[RateLimitNews] = []
-        self.asked: list[GrantRequest] = []
+        self.updates: list[RateLimitNews] = []
+        self.requests: list[GrantRequest] = []
 
     def post(self, message: Any) -> None:
-        (self.news if isinstance(message, RateLimitNews) else self.asked).append(message)
+        (self.updates if isinstance(message, RateLimitNews) else self.requests).append(message)
 
     def post_frame(self, frame: bytes) -> None:
         message = decode_payload(frame[LENGTH.size :])
         assert isinstance(message, RateLimitNews)
-        self.news.append(message)
+        self.updates.append(message)
 
 
 def linked(count: int = 3) -> tuple[GatewayState, ForwardedUpstream, list[ControlBox]]:
-    """Return a box that knows one upstream, and its links to control boxes."""
+    """Return a box with one upstream, and its links to control boxes."""
     state = gateway_state()
     known = put_registration(state.table, engine().registration, 0.0)
     assert known is not None
@@ -58,13 +58,13 @@
     return state, known, boxes
 
 
-def answer(
+def handle_answer(
     state: GatewayState, upstream: ForwardedUpstream, sent_at: float, status: int = 200, **more: str
 ) -> None:
-    """Take in the head of an answer, which the upstream signed."""
+    """Handle the head of an answer that the upstream signed."""
     fields = {"replica-seal": "x"} | {name.replace("_", "-"): text for name, text in more.items()}
-    told = [(name.encode(), text.encode()) for name, text in fields.items()]
-    handle_backpressure(state, PERMIT, upstream, read_answer_facts(status, told), sent_at)
+    headers = [(name.encode(), text.encode()) for name, text in fields.items()]
+    handle_backpressure(state, PERMIT, upstream, read_answer_facts(status, headers), sent_at)
 
 
 @pytest.mark.parametrize(
@@ -79,12 +79,12 @@
         ("1e9", None),
     ],
 )
-def test_rate_that_an_answer_names_is_kept(limit: str, rate: float | None) -> None:
+def test_rate_named_in_an_answer_is_applied(limit: str, rate: float | None) -> None:
     async def play() -> None:
         state, upstream, _boxes = linked()
-        answer(state, upstream, 0.0, server_limit=limit)
-        held = upstream.limit
-        assert (None if held is None else held.limit.rate) == rate
+        handle_answer(state, upstream, 0.0, server_limit=limit)
+        limit_state = upstream.limit
+        assert (None if limit_state is None else limit_state.limit.rate) == rate
         assert takes_work(upstream, anyio.current_time()) is (rate is None)
         assert any_limited([upstream.limit], anyio.current_time()) is (rate is not None)
 
@@ -97,12 +97,12 @@
         (200, {}, True, True),
         (200, {"server_limit": "1e9"}, True, True),
         (503, {"not_executed": "1"}, True, True),
-        # Sent before the limit was named: the answer may have been written before, too.
+        # Sent before the limit was named, so the answer may be older than the limit.
         (200, {}, False, False),
         (200, {"server_limit": "soon"}, True, False),
-        # Another run of an upstream has the address.
+        # Another instance has taken over the address.
         (421, {}, True, False),
-        # Not the upstream's own answer.
+        # Not signed by the upstream itself.
         (502, {"replica_seal": ""}, True, False),
     ],
 )
@@ -111,20 +111,20 @@
 ) -> None:
     async def play() -> None:
         state, upstream, _boxes = linked()
-        answer(state, upstream, 0.0, server_limit="2")
+        handle_answer(state, upstream, 0.0, server_limit="2")
         now = anyio.current_time()
         if fields.get("replica_seal") == "":
             facts = read_answer_facts(status, [])
             handle_backpressure(state, PERMIT, upstream, facts, now + 1.0)
         else:
-            answer(state, upstream, now + 1.0 if later else 0.0, status, **fields)
+            handle_answer(state, upstream, now + 1.0 if later else 0.0, status, **fields)
         assert upstream.limit is not None
         assert upstream.limit.limit.is_named is not ends
 
     anyio.run(play)
 
 
-def test_news_of_a_control_box_limits_an_upstream_that_is_not_known_yet() -> None:
+def test_update_of_a_control_box_limits_an_upstream_that_registers_later() -> None:
     async def play() -> None:
         state, _upstream, _boxes = linked()
         take_limits(limit_keeper_of(state), {"i-9": NAMED})
@@ -145,36 +145,38 @@
         await keep_limits(limit_keeper_of(state))
 
 
-def test_box_tells_what_it_heard_and_asks_once_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_box_reports_limits_and_requests_grants_once_a_second(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(limit_keeper, "NEWS_SECONDS", 0.001)
 
     async def play() -> None:
         state, upstream, boxes = linked()
-        answer(state, upstream, 0.0, server_limit="2")
+        handle_answer(state, upstream, 0.0, server_limit="2")
         for _ in range(5):
             request_grants(state, "")
         await run_keeper(state, 0.1)
-        assert [len(box.news) for box in boxes] == [1, 1, 1]
-        asked = [request for box in boxes for request in box.asked]
-        assert sum(request.counts["i-1"] for request in asked) == 1
+        assert [len(box.updates) for box in boxes] == [1, 1, 1]
+        requests = [request for box in boxes for request in box.requests]
+        assert sum(request.counts["i-1"] for request in requests) == 1
         request_grants(state, "")
         await run_keeper(state, 0.1)
-        assert sum(len(box.asked) for box in boxes) == len(asked)
+        assert sum(len(box.requests) for box in boxes) == len(requests)
 
     anyio.run(play)
 
 
-def test_what_is_lent_is_sent_within_its_time() -> None:
+def test_grant_is_usable_until_it_expires() -> None:
     async def play() -> None:
         state, upstream, boxes = linked()
-        answer(state, upstream, 0.0, server_limit="2")
+        handle_answer(state, upstream, 0.0, server_limit="2")
         request_grants(state, "")
         await run_keeper(state, 0.05)
-        call = next(request.call for box in boxes for request in box.asked)
+        call = next(request.call for box in boxes for request in box.requests)
         take_grant_reply(limit_keeper_of(state), reply(call, 1))
         assert takes_work(upstream, anyio.current_time())
         assert not takes_work(upstream, state.table.limits.asked_at + GRANT_SECONDS)
-        # The same answer twice, or one to a question that nobody asked, lends nothing.
+        # A duplicate reply, or one to an unknown request, grants nothing.
         take_grant_reply(limit_keeper_of(state), reply(call, 1))
         take_grant_reply(limit_keeper_of(state), reply(99, 1))
         assert upstream.limit is not None
@@ -187,13 +189,13 @@
     return GrantReply(call=call, grants={"i-1": Grant(count=count, wait=1.0, limit=NAMED)})
 
 
-def test_answer_that_comes_too_late_lends_nothing() -> None:
+def test_late_reply_grants_nothing() -> None:
     async def play() -> None:
         state, upstream, boxes = linked(1)
-        answer(state, upstream, 0.0, server_limit="2")
+        handle_answer(state, upstream, 0.0, server_limit="2")
         request_grants(state, "")
         await run_keeper(state, 0.05)
-        call = boxes[0].asked[0].call
+        call = boxes[0].requests[0].call
         limit_keeper_of(state).asked_at[call] -= GRANT_SECONDS
         take_grant_reply(limit_keeper_of(state), reply(call, 1))
         assert not takes_work(upstream, anyio.current_time())
@@ -204,7 +206,7 @@
 def test_box_without_links_sends_nothing_to_a_limited_upstream() -> None:
     async def play() -> None:
         state, upstream, _boxes = linked(0)
-        answer(state, upstream, 0.0, server_limit="2")
+        handle_answer(state, upstream, 0.0, server_limit="2")
         request_grants(state, "")
         await run_keeper(state, 0.05)
         assert not takes_work(upstream, anyio.current_time())
@@ -213,7 +215,7 @@
 
 
 @pytest.mark.parametrize("position", ["first", "later"])
-def test_nothing_is_sent_over_an_engine_whose_limit_became_known_meanwhile(
+def test_limit_that_becomes_known_while_connecting_stops_the_request(
     monkeypatch: pytest.MonkeyPatch, position: str
 ) -> None:
     closed: list[bool] = []
@@ -228,7 +230,7 @@
         assert later is not None
 
         async def connect_late(*_args: Any, **_options: Any) -> Connection:
-            answer(state, first if position == "first" else later, 0.0, server_limit="2")
+            handle_answer(state, first if position == "first" else later, 0.0, server_limit="2")
             return Connection()
 
         monkeypatch.setattr(upstream_call, "_get_connection", connect_late)
--- a/tests/daemons/gateway/test_waiting.py
+++ b/tests/daemons/gateway/test_waiting.py
@@ -1,7 +1,7 @@
-"""Requests that wait for a moment that is near, and for nothing else.
+"""Requests wait only if they can be served soon.
 
-The load is the one of `tests/routing/test_wait_queue.py`: callers whose streams a loss of power
-cut come back once only, 0.2 to 0.7 s before their box is sure of its document.
+Callers whose streams were interrupted by a power loss retry only once, shortly before their box has
+confirmed its document.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 import pytest
 
 from ledgeladder.coordination.freshness import ask, take_answer
-from ledgeladder.daemons.gateway.checks import START_SECONDS, Permit
+from ledgeladder.daemons.gateway.checks import STARTUP_SECONDS, Permit
 from ledgeladder.daemons.gateway.notes import RequestTrace
 from ledgeladder.daemons.gateway.state import answer_pace
 from ledgeladder.daemons.gateway.waiting import (
     is_starting,
     run_queue,
-    wait_for_turn,
+    wait_for_start,
     wait_for_upstreams,
 )
 from ledgeladder.http1 import HttpRequest
@@ -78,7 +78,7 @@
     return HttpRequest(method=b"POST", target=b"/x/", headers=[], fields={}, arrived_at=now)
 
 
-def make_sure(state: GatewayState) -> None:
+def confirm_document(state: GatewayState) -> None:
     """Put a document in force and confirm it as the newest."""
     state.configuration = TrafficConfiguration(
         version=1, routes=(), pools={}, accounts=(), limits=CallerLimits()
@@ -86,58 +86,60 @@
     take_answer(state.freshness, ask(state.freshness, anyio.current_time()), 1, 0.0)
 
 
-def started(*, uptime: float = 0.0) -> GatewayState:
+def starting_state(*, uptime: float = 0.0) -> GatewayState:
     state = gateway_state()
     state.started_at = anyio.current_time() - uptime
     return state
 
 
 async def served_order(state: GatewayState, callers: dict[str, CallerFacts]) -> list[str]:
-    """Let callers wait, make the box sure of its document, and return the order of their turns."""
+    """Let callers wait, confirm the document, and return the order of their admission."""
     order: list[str] = []
 
-    async def call(name: str, said: CallerFacts) -> None:
-        await wait_for_turn(state, request(), said)
+    async def call(name: str, stated: CallerFacts) -> None:
+        await wait_for_start(state, request(), stated)
         order.append(name)
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run_queue, state.start_queue)
         async with anyio.create_task_group() as waiting:
-            for name, said in callers.items():
-                waiting.start_soon(call, name, said)
+            for name, stated in callers.items():
+                waiting.start_soon(call, name, stated)
                 await anyio.sleep(0)
             await anyio.wait_all_tasks_blocked()
             assert not order
-            make_sure(state)
+            confirm_document(state)
         tasks.cancel_scope.cancel()
     return order
 
 
-def test_callers_wait_and_cut_streams_go_first() -> None:
+def test_callers_wait_and_interrupted_streams_are_admitted_first() -> None:
     async def run() -> list[str]:
         callers = {"new": facts(), "cut": facts(resume_after=3), "newer": facts()}
-        return await served_order(started(), callers)
+        return await served_order(starting_state(), callers)
 
     assert anyio.run(run) == ["cut", "new", "newer"]
 
 
-def test_box_that_serves_or_should_have_served_lets_nobody_wait() -> None:
+def test_no_request_waits_after_startup_or_its_time_limit() -> None:
     async def run() -> None:
-        state = started()
+        state = starting_state()
         assert is_starting(state, facts(), anyio.current_time())
-        make_sure(state)
+        confirm_document(state)
         assert not is_starting(state, facts(), anyio.current_time())
-        assert not is_starting(started(uptime=START_SECONDS), facts(), anyio.current_time())
+        assert not is_starting(
+            starting_state(uptime=STARTUP_SECONDS), facts(), anyio.current_time()
+        )
 
     anyio.run(run)
 
 
-def test_streams_wait_for_a_failure_domain_with_all_layers() -> None:
-    """Upstreams tell of themselves once a second, so that some are known after the document is."""
+def test_streams_wait_for_a_failure_domain_that_covers_all_layers() -> None:
+    """Registrations arrive once a second, so some upstreams become known after the document."""
 
     async def run() -> None:
-        state = started()
-        make_sure(state)
+        state = starting_state()
+        confirm_document(state)
         assert state.configuration is not None
         state.configuration = msgspec.structs.replace(
             state.configuration, routes=(ROUTE,), pools={POOL.name: POOL}
@@ -167,13 +169,13 @@
     anyio.run(run)
 
 
-def test_box_that_stops_keeps_nobody() -> None:
+def test_stopping_box_keeps_no_request_waiting() -> None:
     async def run() -> None:
-        state = started()
+        state = starting_state()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(run_queue, state.start_queue)
             async with anyio.create_task_group() as waiting:
-                waiting.start_soon(wait_for_turn, state, request(), facts())
+                waiting.start_soon(wait_for_start, state, request(), facts())
                 await anyio.wait_all_tasks_blocked()
                 state.refusing = True
             tasks.cancel_scope.cancel()
@@ -182,11 +184,11 @@
     anyio.run(run)
 
 
-def test_caller_that_leaves_is_dropped() -> None:
+def test_disconnecting_caller_is_removed_from_the_queue() -> None:
     async def run() -> None:
-        state = started()
+        state = starting_state()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(wait_for_turn, state, request(), facts())
+            tasks.start_soon(wait_for_start, state, request(), facts())
             await anyio.wait_all_tasks_blocked()
             assert len(state.start_queue.queue.waiting) == 1
             tasks.cancel_scope.cancel()
@@ -197,26 +199,26 @@
 
 
 @pytest.mark.parametrize("patience", [-1.0, 0.0])
-def test_caller_without_time_is_not_kept(patience: float) -> None:
+def test_caller_without_time_left_does_not_wait(patience: float) -> None:
     async def run() -> float:
-        return await wait_for_turn(started(), request(), facts(patience=patience))
+        return await wait_for_start(starting_state(), request(), facts(patience=patience))
 
     assert anyio.run(run) == 0.0
 
 
-def test_document_that_never_comes_ends_the_wait() -> None:
+def test_wait_ends_after_the_startup_time_without_a_document() -> None:
     async def run() -> float:
-        state = started(uptime=START_SECONDS - 0.05)
-        return await wait_for_turn(state, request(), facts())
+        state = starting_state(uptime=STARTUP_SECONDS - 0.05)
+        return await wait_for_start(state, request(), facts())
 
-    assert 0.0 < anyio.run(run) < START_SECONDS
+    assert 0.0 < anyio.run(run) < STARTUP_SECONDS
 
 
 SERVICES = UpstreamPool(name="services", max_connections=10, engine=None)
 
 
-def resting_service(state: GatewayState, seconds: float) -> ForwardedUpstream:
-    """Register a service that wants nothing for some seconds."""
+def backing_off_service(state: GatewayState, seconds: float) -> ForwardedUpstream:
+    """Register a service that backs off for some seconds."""
     now = anyio.current_time()
     registration = Registration(
         instance="s", sequence=1, address="s:1", pool=SERVICES.name, slots=6
@@ -239,18 +241,18 @@
     )
 
 
-async def wait(state: GatewayState, held: Permit, seconds: float) -> bool:
-    """Wait for half of the time that a request has."""
-    until = anyio.current_time() + (held.facts.patience or 0.0) / 2
+async def wait(state: GatewayState, request_permit: Permit, seconds: float) -> bool:
+    """Wait for up to half of the request's timeout."""
+    until = anyio.current_time() + (request_permit.facts.patience or 0.0) / 2
     return await wait_for_upstreams(
-        state, held, request(), RequestTrace(), seconds=seconds, until=until
+        state, request_permit, request(), RequestTrace(), seconds=seconds, until=until
     )
 
 
-def test_request_that_has_the_time_waits_until_upstreams_have_rested() -> None:
+def test_request_waits_until_the_backoff_of_upstreams_ends() -> None:
     async def run() -> None:
         state = gateway_state()
-        service = resting_service(state, 0.1)
+        service = backing_off_service(state, 0.1)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(run_queue, state.upstream_queue)
             assert await wait(state, permit(5.0), 0.1)
@@ -262,20 +264,20 @@
     anyio.run(run)
 
 
-def test_request_that_could_not_be_served_then_is_not_kept() -> None:
+def test_request_does_not_wait_for_a_backoff_beyond_its_deadline() -> None:
     async def run() -> None:
         state = gateway_state()
-        resting_service(state, 3.0)
+        backing_off_service(state, 3.0)
         with anyio.fail_after(0.05):
             assert not await wait(state, permit(5.0), 3.0)
 
     anyio.run(run)
 
 
-def test_request_is_kept_no_longer_than_half_of_its_time() -> None:
+def test_request_waits_no_longer_than_half_of_its_timeout() -> None:
     async def run() -> None:
         state = gateway_state()
-        resting_service(state, 60.0)
+        backing_off_service(state, 60.0)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(run_queue, state.upstream_queue)
             with anyio.fail_after(1.0):
@@ -285,19 +287,19 @@
     anyio.run(run)
 
 
-def test_those_that_wait_go_on_one_after_the_other_the_urgent_first() -> None:
-    """The pattern: many callers wait for the same rest; the upstream must not get all at once."""
+def test_waiting_requests_are_admitted_one_by_one_by_priority() -> None:
+    """Guards against sending all waiting requests at once when a back-off ends."""
 
     async def run() -> list[tuple[str, float]]:
         state = gateway_state()
-        resting_service(state, 0.1)
+        backing_off_service(state, 0.1)
         answer_pace(state, SERVICES.name).mean = 0.12
-        went: list[tuple[str, float]] = []
+        admitted: list[tuple[str, float]] = []
 
         async def call(name: str, priority: int) -> None:
-            held = permit(5.0, priority=priority)
-            assert await wait(state, held, 0.1)
-            went.append((name, anyio.current_time()))
+            request_permit = permit(5.0, priority=priority)
+            assert await wait(state, request_permit, 0.1)
+            admitted.append((name, anyio.current_time()))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(run_queue, state.upstream_queue)
@@ -305,17 +307,17 @@
                 for name, priority in (("usual", 3), ("late", 5), ("urgent", 0)):
                     waiting.start_soon(call, name, priority)
             tasks.cancel_scope.cancel()
-        return went
+        return admitted
 
-    went = anyio.run(run)
-    assert [name for name, _at in went] == ["urgent", "usual", "late"]
-    times = [at for _name, at in went]
-    # Six slots and answers in 0.12 s: one each 0.02 s is worked off.
+    admitted = anyio.run(run)
+    assert [name for name, _at in admitted] == ["urgent", "usual", "late"]
+    times = [at for _name, at in admitted]
+    # Six slots and answers in 0.12 s: one request each 0.02 s is completed.
     assert all(later - earlier >= 0.019 for earlier, later in pairwise(times))
 
 
-def test_streams_wait_until_each_layer_has_an_engine_that_wants_work() -> None:
-    """The pattern: the only holder of a range rests while the others are free."""
+def test_streams_wait_until_each_layer_has_an_engine_that_accepts_work() -> None:
+    """The only engine with a range of layers backs off while the others are available."""
 
     async def run() -> None:
         state = gateway_state()
@@ -339,12 +341,12 @@
     anyio.run(run)
 
 
-def test_request_whose_turn_would_come_too_late_is_not_kept() -> None:
-    """The pattern: more callers than what rests takes, which waited in vain until they left."""
+def test_request_that_would_be_admitted_too_late_does_not_wait() -> None:
+    """Guards against callers that wait although too many requests wait before them."""
 
     async def run() -> None:
         state = gateway_state()
-        resting_service(state, 0.1)
+        backing_off_service(state, 0.1)
         state.upstream_queue.admission_pace.mean = 1.0
         async with anyio.create_task_group() as tasks:
             for _ in range(3):
@@ -361,7 +363,7 @@
     async def run() -> None:
         state = gateway_state()
         state.upstream_queue.queue.most_requests = 0
-        resting_service(state, 0.1)
+        backing_off_service(state, 0.1)
         with anyio.fail_after(0.05):
             assert not await wait(state, permit(5.0), 0.1)
 
