--- a/src/ledgeladder/daemons/gateway/probing.py
+++ b/src/ledgeladder/daemons/gateway/probing.py
@@ -1,4 +1,4 @@
-"""Finding out which engines of a silent path are dead."""
+"""Probes that find out which engines of a stalled path are dead."""
 
 from __future__ import annotations
 
@@ -22,28 +22,27 @@
 logger = logging.getLogger(__name__)
 
 PROBE_ROUND_TRIPS: Final = 25.0
-"""Round trips to the farthest failure domain that an engine gets at least to accept a connection. A
-machine without power or behind a cut says nothing at all; one that works answers within one or two
-and the time in which its processor comes to it."""
+"""Minimum probe timeout, in round trips to the farthest failure domain. A working engine accepts a
+connection within one or two round trips and its scheduling delay; a machine that is down or cut off
+does not respond."""
 
 UNKNOWN_ROUND_TRIP_SECONDS: Final = 0.002
-"""Round trip that is taken where the document tells no delays."""
+"""Round trip that is assumed if the document gives no delays."""
 
 HEDGE_DELAY_SHARE: Final = 0.5
-"""Part of that time after which a second connection is tried beside the first: on a link that
-loses packets, one lost packet would make an engine look dead."""
+"""Share of the probe timeout after which a second connection is opened in parallel, because a
+single lost packet would otherwise make an engine appear dead."""
 
 PROBE_CEILING_FACTOR: Final = 10.0
-"""How many times the least time an engine gets on a box whose connections come up slowly."""
+"""Maximum probe timeout, as a multiple of the minimum, if connections are slow to open."""
 
 LIVENESS_SECONDS: Final = 0.035
-"""How long an engine counts as working after it showed so: less than the shortest pause that is
-looked into, so that the pause itself is no proof. An engine in use shows it every few
-milliseconds."""
+"""How long an engine counts as alive after its last progress. Shorter than the shortest stall
+timeout, since an engine that made no progress during the stall must be probed."""
 
 LATE_TIMER_SECONDS: Final = 0.02
-"""A time-out that fires later than this says that the own box was held up, and nothing of the
-engine: timers of a box that is not held up fire within a few milliseconds."""
+"""Lateness of a timer above which this process was stalled itself, and the timeout is no evidence
+against the engine."""
 
 
 async def find_unreachable(
@@ -53,18 +52,18 @@
     *,
     liveness_seconds: float = LIVENESS_SECONDS,
 ) -> bool:
-    """Connect to suspected engines side by side, and tell of those that are dead.
+    """Probe engines concurrently, and report those that do not accept a connection.
 
-    An engine over which another request has just made progress is not suspected.
+    An engine that made progress for another request within `liveness_seconds` is not probed.
 
     Args:
         state: The process's state.
-        engines: The engines, those of a path for example.
-        dead: Runs of engines that are known to be dead; those found are added.
-        liveness_seconds: How long an engine counts as working after it showed so.
+        engines: The engines, for example those of a path.
+        dead: Instances of engines that are known to be dead; those found are added.
+        liveness_seconds: How long an engine counts as alive after its last progress.
 
     Returns:
-        True if any does not accept a connection.
+        True if any engine was found unreachable.
     """
     found: list[ForwardedUpstream] = []
 
@@ -84,19 +83,18 @@
 
 
 async def check_exited(state: GatewayState, upstream: ForwardedUpstream, dead: set[str]) -> bool:
-    """Find out whether the process of an upstream has ended whose connection broke.
+    """Check whether the process of an upstream has exited after a connection to it broke.
 
-    It is asked even if it has just worked for another request. Only a refused connection counts: a
-    probe that is lost, beside a connection that broke for another reason, is what a link that loses
-    packets looks like.
+    The upstream is probed even if it has just made progress for another request. Only a refused
+    connection is evidence: a link that loses packets also breaks connections and loses probes.
 
     Args:
         state: The process's state.
         upstream: The upstream.
-        dead: Runs of upstreams that are known to be dead; it is added if it has ended.
+        dead: Instances of upstreams that are known to be dead; this one is added if it has exited.
 
     Returns:
-        True if nobody listens at its address.
+        True if no process listens at its address.
     """
     address = upstream.registration.address
     seconds = probe_timeout(state, upstream.registration.pool)
@@ -116,15 +114,14 @@
 
 
 def report_lost(state: GatewayState, engine: ForwardedUpstream, dead: set[str]) -> None:
-    """Take in that an engine is dead.
+    """Record that an engine is dead, and report it to the control boxes.
 
-    It gets nothing more until it is heard, the other requests on it are interrupted, and the
-    control boxes are told.
+    It receives no new work until a later heartbeat is known; other requests on it are interrupted.
 
     Args:
         state: The process's state.
         engine: The engine.
-        dead: Runs of engines that are known to be dead; this one is added.
+        dead: Instances of engines that are known to be dead; this one is added.
     """
     dead.add(engine.registration.instance)
     state.metrics.counters["engine-lost"] += 1
@@ -135,33 +132,37 @@
 
 
 def probe_timeout(state: GatewayState, pool: str) -> float:
-    """Return how long an engine of a pool gets to accept a connection, in seconds.
+    """Return how long an engine of a pool may take to accept a connection, in seconds.
 
-    It follows from how long they took lately, and is at least `PROBE_ROUND_TRIPS`.
+    The timeout adapts to recent connection times, and is at least `PROBE_ROUND_TRIPS` round trips.
     """
     configuration = state.configuration
-    held = configuration.pools.get(pool) if configuration is not None else None
-    delays = held.engine.delays.values() if held is not None and held.engine is not None else ()
+    upstream_pool = configuration.pools.get(pool) if configuration is not None else None
+    delays = (
+        upstream_pool.engine.delays.values()
+        if upstream_pool is not None and upstream_pool.engine is not None
+        else ()
+    )
     round_trip = 2.0 * max(delays, default=UNKNOWN_ROUND_TRIP_SECONDS / 2.0)
     floor = PROBE_ROUND_TRIPS * round_trip
     return probe_patience(state.probe_pace, floor=floor, ceiling=floor * PROBE_CEILING_FACTOR)
 
 
 async def _probe(state: GatewayState, engine: ForwardedUpstream) -> str:
-    """Connect to an engine, once more if the own box was held up meanwhile.
+    """Connect to an engine, and retry once if this process was stalled meanwhile.
 
-    A box that runs slowly would otherwise find every engine dead, break off its streams and have
-    the control boxes move layers.
+    A stalled process would otherwise find every engine dead, break off its streams and cause the
+    control boxes to move layers.
 
     Returns:
-        Why the engine seems dead; empty if it accepted, or if nothing can be said.
+        Why the engine appears dead; empty if it accepted or if the probe is inconclusive.
     """
     reason = ""
     for _ in range(2):
         timeout = probe_timeout(state, engine.registration.pool)
         started_at = anyio.current_time()
         try:
-            took = await _connect_hedged(state, engine, timeout)
+            elapsed = await _connect_hedged(state, engine, timeout)
         except ConnectError as error:
             reason = str(error)
             if error.is_refusal:
@@ -169,14 +170,14 @@
             if not isinstance(error.__cause__, TimeoutError):
                 return reason
         else:
-            note_gap(state.probe_pace, took)
+            note_gap(state.probe_pace, elapsed)
             engine.proven_at = anyio.current_time()
             return ""
-        took = anyio.current_time() - started_at
-        if took <= timeout + LATE_TIMER_SECONDS:
+        elapsed = anyio.current_time() - started_at
+        if elapsed <= timeout + LATE_TIMER_SECONDS:
             return reason
-        # The late time-out is a sign that connections come up slowly from here, too.
-        note_gap(state.probe_pace, took)
+        # A late timeout also indicates that connections from this box are slow to open.
+        note_gap(state.probe_pace, elapsed)
     state.metrics.counters["probe-held-up"] += 1
     logger.warning(
         "probe says nothing",
@@ -186,42 +187,42 @@
 
 
 async def _connect_hedged(state: GatewayState, engine: ForwardedUpstream, timeout: float) -> float:
-    """Connect, and once more beside it after a part of the time.
+    """Connect, with a second connection in parallel after a share of the timeout.
 
     Args:
         state: The process's state.
         engine: The engine.
-        timeout: Longest time for both, in seconds.
+        timeout: Timeout for both connections together, in seconds.
 
     Returns:
-        How long the connection that came up took, in seconds.
+        How long the first successful connection took, in seconds.
 
     Raises:
-        ConnectError: If neither came up, or if one was refused.
+        ConnectError: If neither connection succeeded, or if one failed other than by timeout.
     """
-    took: float | None = None
+    elapsed: float | None = None
     failure: ConnectError | None = None
 
-    async def try_connect(wait: float, scope: anyio.CancelScope) -> None:
-        nonlocal took, failure
-        await anyio.sleep(wait)
+    async def try_connect(delay: float, scope: anyio.CancelScope) -> None:
+        nonlocal elapsed, failure
+        await anyio.sleep(delay)
         started_at = anyio.current_time()
         address, source = engine.registration.address, state.settings.box.address
         try:
-            connection = await connect(address, source=source, seconds=timeout - wait)
+            connection = await connect(address, source=source, seconds=timeout - delay)
         except ConnectError as error:
             failure = error
             if not isinstance(error.__cause__, TimeoutError):
                 scope.cancel()
             return
-        took = anyio.current_time() - started_at
+        elapsed = anyio.current_time() - started_at
         await connection.close()
         scope.cancel()
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(try_connect, 0.0, tasks.cancel_scope)
         tasks.start_soon(try_connect, timeout * HEDGE_DELAY_SHARE, tasks.cancel_scope)
-    if took is not None:
-        return took
+    if elapsed is not None:
+        return elapsed
     assert failure is not None
     raise failure
--- a/src/ledgeladder/daemons/gateway/stall_watch.py
+++ b/src/ledgeladder/daemons/gateway/stall_watch.py
@@ -1,4 +1,4 @@
-"""Watching a run of a stream: what is done when nothing comes."""
+"""Stall detection for attempts of streams: probes of the engines and abort of stalled attempts."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     path: ChosenPath,
     dispatch: Dispatch,
 ) -> OpenAnswer:
-    """Send a request and wait for the head of the answer, with a watch on the path's engines.
+    """Send a request and wait for the head of the answer, while checking the path's engines.
 
     Args:
         state: The process's state.
@@ -47,18 +47,18 @@
         request: The request.
         session: The caller's stream.
         path: The path.
-        dispatch: What the first engine is told of the run.
+        dispatch: Values of the headers for the first engine.
 
     Returns:
         The answer, with its body unread.
 
     Raises:
         NotSentError: If nothing was sent.
-        BackpressureError: If an engine of the path wants it no more.
-        AnswerLostError: If the request may have run and no head came, or came too late.
+        BackpressureError: If an engine of the path applied back-pressure.
+        AnswerLostError: If the request may have been executed but no head came in time.
     """
     answer: OpenAnswer | None = None
-    failure: Exception = AnswerLostError("no answer in time")
+    failure: Exception = AnswerLostError("timed out waiting for the response head")
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_watch_head, state, session, path, tasks.cancel_scope)
         try:
@@ -85,7 +85,7 @@
 ) -> None:
     """Probe the engines of a path each time that the head of the answer is overdue.
 
-    The wait is ended when one of them is dead, or after the stream's `first_limit`.
+    Cancels the scope if one of them is unreachable, or after the stream's `first_limit`.
     """
     limit = session.timeouts.first_limit
     waited = 0.0
@@ -106,7 +106,7 @@
 async def read_watched(
     state: GatewayState, session: StreamSession, path: ChosenPath, answer: OpenAnswer
 ) -> bytes | None:
-    """Read the next part; a pause beyond the stream's own pace has the engines probed.
+    """Read the next part of the answer, and probe the engines if it is overdue.
 
     Args:
         state: The process's state.
@@ -119,7 +119,7 @@
 
     Raises:
         AnswerBrokenError: If the answer ends early.
-        AnswerLostError: If an engine is dead, or none is and the silence lasts too long.
+        AnswerLostError: If an engine is unreachable, or the stream stalls for too long.
     """
     with anyio.move_on_after(_gap_timeout(session)):
         return await read_part(answer.connection)
@@ -127,7 +127,7 @@
 
 
 def _gap_timeout(session: StreamSession) -> float:
-    """Return how long the next part may take before the engines are looked at, in seconds."""
+    """Return how long the next part may take before the engines are probed, in seconds."""
     is_known = session.pace.mean > 0
     timeout = stall_after(session.pace) if is_known else session.timeouts.first_look
     return min(timeout, session.timeouts.gap_limit)
@@ -136,17 +136,16 @@
 async def _read_overdue(
     state: GatewayState, session: StreamSession, path: ChosenPath, answer: OpenAnswer
 ) -> bytes | None:
-    """Read a part that is overdue while the engines are looked at.
+    """Read an overdue part while the engines are probed.
 
-    What comes meanwhile is passed on at once: most pauses end by themselves, and the probes and
-    questions to engines take 0.1 s.
+    Reading continues meanwhile, since most pauses end by themselves before the probes complete.
 
     Raises:
         AnswerBrokenError: If the answer ends early.
-        AnswerLostError: If an engine is dead, or none is and the silence lasts too long.
+        AnswerLostError: If an engine is unreachable, or the stream stalls for too long.
     """
     part: bytes | None = None
-    failure: Exception | None = AnswerLostError("the path was given up")
+    failure: Exception | None = AnswerLostError("the attempt was abandoned")
     reasons: list[str] = []
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_watch_stall, state, session, path, reasons, tasks.cancel_scope)
@@ -169,26 +168,26 @@
     reasons: list[str],
     scope: anyio.CancelScope,
 ) -> None:
-    """Look at the engines of a stream that pauses; cancel its reading if it is to be given up.
+    """Probe the engines of a stalled stream repeatedly, and abort its attempt if necessary.
 
     Args:
         state: The process's state.
         session: The caller's stream.
         path: The path.
-        reasons: Takes why it is given up.
-        scope: What to cancel then.
+        reasons: Receives the reason for the abort.
+        scope: Scope of the read, which is cancelled on abort.
     """
     waited = _gap_timeout(session)
     while True:
         if await find_unreachable(state, path.engines, session.dead):
-            reasons.append("an engine of the path does not answer")
+            reasons.append("an engine of the path is unreachable")
             break
         if waited >= session.timeouts.ask:
             await query_slowdowns(state, path)
         _suspect_links(state, session, path, waited)
         if waited >= session.timeouts.gap_limit:
             _exclude_path(session, path)
-            reasons.append(f"silent for {waited:.2f} s")
+            reasons.append(f"stalled for {waited:.2f} s")
             break
         state.metrics.counters["false-alarm"] += 1
         note_false_alarm(session.pace)
@@ -199,14 +198,14 @@
 
 
 def _exclude_path(session: StreamSession, path: ChosenPath) -> None:
-    """Exclude all engines of a path that was silent for too long: nothing tells which it was."""
+    """Exclude all engines of a stalled path, since the one that caused the stall is unknown."""
     session.excluded.update(item.registration.instance for item in path.engines)
 
 
 def _suspect_links(
     state: GatewayState, session: StreamSession, path: ChosenPath, waited: float
 ) -> None:
-    """Avoid the links of a path that has stood still for long although all its engines answer."""
+    """Avoid the links of a path that stays stalled although all of its engines are reachable."""
     if waited < session.timeouts.link:
         return
     known = set(state.suspected_links.until)
--- a/src/ledgeladder/daemons/gateway/upstream_call.py
+++ b/src/ledgeladder/daemons/gateway/upstream_call.py
@@ -1,4 +1,4 @@
-"""One try of a request at one upstream, up to the head of its answer."""
+"""One call of an upstream: sending a request and reading the head and body of the answer."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
     from .state import GatewayState
 
 CONNECT_SECONDS: Final = 0.25
-"""How long a connection may take: a hundred round trips inside a region. An upstream that does
-not accept by then is full or lost, and nothing was sent to it."""
+"""Connection timeout, about a hundred round trips inside a region. An upstream that exceeds it is
+overloaded or lost; nothing was sent to it."""
 
 MIN_FAILURE_STATUS: Final = 500
-"""Least status that counts as a failure of the upstream."""
+"""Lowest HTTP status that counts as a failure of the upstream."""
 
 
 class NotSentError(Exception):
@@ -45,36 +45,36 @@
 
     @property
     def is_refusal(self) -> bool:
-        """True if nobody listens at its address any more."""
+        """True if the connection was refused: no process listens at the address."""
         return isinstance(self.__cause__, ConnectError) and self.__cause__.is_refusal
 
 
 class BackpressureError(Exception):
-    """An upstream wants nothing more since it was chosen; nothing was sent.
+    """An upstream applied back-pressure after it was chosen; nothing was sent.
 
-    It has asked for rest, leaves, or has a limit that leaves nothing to this box.
+    It is backing off, is draining, or has a rate limit that leaves this box no grant.
     """
 
 
 class AnswerLostError(Exception):
-    """The request may have run, and there is no whole answer."""
+    """The request may have been executed, but no complete answer was received."""
 
 
 class OpenAnswer(msgspec.Struct, kw_only=True):
-    """An answer whose head has been read."""
+    """An answer whose head has been read and whose body has not."""
 
     connection: UpstreamConnection
-    """Connection that carries the rest."""
+    """Connection to read the body from."""
 
     head: h11.Response
-    """Status and header fields."""
+    """Status and headers."""
 
     facts: AnswerFacts
-    """What the head says."""
+    """Protocol headers, decoded."""
 
     @property
     def succeeded(self) -> bool:
-        """True for a status that says that the request was served."""
+        """True for a 2xx status."""
         return 200 <= self.head.status_code < 300
 
 
@@ -94,21 +94,21 @@
         state: The process's state.
         permit: What the request may do.
         request: The request.
-        dispatch: What is added to it.
-        upstream: Where to send it.
-        fresh_connection: True if a connection that was used before must not carry it: its loss
-            could not be told from the loss of the answer.
-        later_engines: Engines that the request passes after the upstream.
+        dispatch: Values of the headers that are added to the request.
+        upstream: The upstream to call.
+        fresh_connection: Whether to avoid pooled connections, whose loss is indistinguishable from
+            the loss of the answer.
+        later_engines: Engines that the request visits after the upstream.
 
     Returns:
-        The answer, of which only the head was read. The caller closes or gives back its
-        connection.
+        The answer, with its body unread. The caller of this function closes the connection or
+        returns it to the pool.
 
     Raises:
         NotSentError: If nothing was sent.
-        BackpressureError: If the upstream wants it no more, which others' answers may say while a
-            connection comes up, or others took what it was lent.
-        AnswerLostError: If the request may have run and no answer that belongs to it came.
+        BackpressureError: If a target applied back-pressure, or its rate grants were used up, while
+            the connection was being opened.
+        AnswerLostError: If the request may have been executed but no answer to it was received.
     """
     connection = await _get_connection(state, upstream, fresh_connection=fresh_connection)
     sent_at = anyio.current_time()
@@ -138,14 +138,16 @@
 
 
 def _backpressure_reason(targets: Iterable[ForwardedUpstream], now: float) -> str:
-    """Return why a request must not be sent after all; empty if it may be."""
+    """Return why a request must not be sent to the targets; empty if it may be."""
     for item in targets:
         if takes_work(item, now):
             continue
         instance = item.registration.instance
         if item.leaving:
-            return f"{instance} leaves"
-        return f"{instance} rests" if is_resting(item, now) else f"{instance} has a limit"
+            return f"{instance} is draining"
+        return (
+            f"{instance} is backing off" if is_resting(item, now) else f"{instance} is rate-limited"
+        )
     return ""
 
 
@@ -164,7 +166,7 @@
 
 
 async def read_body(state: GatewayState, answer: OpenAnswer) -> bytes:
-    """Read the body of an answer to its end and give the connection back.
+    """Read the body of an answer and return the connection to the pool.
 
     Raises:
         AnswerLostError: If it ends early.
--- a/tests/daemons/gateway/test_probing.py
+++ b/tests/daemons/gateway/test_probing.py
@@ -1,4 +1,4 @@
-"""Telling a dead engine from a box that is held up itself."""
+"""Probes distinguish a dead engine from a stall of the probing process."""
 
 from __future__ import annotations
 
@@ -35,21 +35,21 @@
 
 
 @pytest.mark.parametrize(
-    ("held_up", "accepts", "is_lost"),
+    ("is_stalled", "accepts", "is_lost"),
     [(False, False, True), (True, False, False), (True, True, False), (False, True, False)],
 )
-def test_only_a_time_out_in_time_is_evidence(
-    monkeypatch: pytest.MonkeyPatch, held_up: bool, accepts: bool, is_lost: bool
+def test_only_a_punctual_timeout_is_evidence(
+    monkeypatch: pytest.MonkeyPatch, is_stalled: bool, accepts: bool, is_lost: bool
 ) -> None:
-    """A box that stands still for longer than a probe waits must not call engines dead."""
+    """A process that stalls for longer than a probe timeout must not report engines as dead."""
 
     async def connect(address: str, *, source: str | None, seconds: float) -> Connected:
-        if accepts and not held_up:
+        if accepts and not is_stalled:
             return Connected()
         try:
             with anyio.fail_after(seconds):
-                if held_up:
-                    # The whole process stands still, as on a machine that is frozen for a moment.
+                if is_stalled:
+                    # Blocks the event loop, as on a machine that is suspended briefly.
                     time.sleep(seconds + probing.LATE_TIMER_SECONDS * 2)
                 await anyio.sleep_forever()
         except TimeoutError as error:
@@ -69,7 +69,9 @@
     assert (path.engines[0].lost_at > 0) is is_lost
 
 
-def test_one_lost_packet_does_not_make_an_engine_look_dead(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_one_lost_packet_does_not_make_an_engine_appear_dead(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     tries = 0
 
     async def connect(address: str, *, source: str | None, seconds: float) -> Connected:
@@ -91,7 +93,7 @@
     assert tries == 2
 
 
-def test_engine_over_which_other_requests_go_on_is_not_probed(
+def test_engine_with_recent_progress_is_not_probed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     probed: list[str] = []
@@ -102,13 +104,13 @@
 
     monkeypatch.setattr(probing, "connect", connect)
     state = gateway_state()
-    working, silent = engine(), engine("i-2", "127.0.0.1:2")
-    path = path_over(working, silent)
+    working, inactive = engine(), engine("i-2", "127.0.0.1:2")
+    path = path_over(working, inactive)
     dead: set[str] = set()
 
     async def run() -> bool:
         working.proven_at = anyio.current_time()
-        silent.proven_at = working.proven_at - probing.LIVENESS_SECONDS * 2
+        inactive.proven_at = working.proven_at - probing.LIVENESS_SECONDS * 2
         return await find_unreachable(state, path.engines, dead)
 
     assert anyio.run(run)
--- a/tests/daemons/gateway/test_probing_sockets.py
+++ b/tests/daemons/gateway/test_probing_sockets.py
@@ -1,4 +1,4 @@
-"""Probes over real sockets, by a process that stands still in between."""
+"""Probes over real sockets from a process that stalls meanwhile."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 
 @pytest.mark.parametrize("factor", [1.1, 1.3, 2.0, 5.0])
-def test_engine_that_accepts_is_alive_however_long_the_own_process_stands_still(
+def test_engine_that_accepts_is_alive_however_long_the_probing_process_stalls(
     factor: float,
 ) -> None:
-    """The timer of a probe and the connection are due together then; uvloop runs timers first."""
+    """After a stall the probe's timer and its connection are due together; uvloop runs timers
+    first."""
 
     async def run() -> bool:
         async with anyio.create_task_group() as tasks:
@@ -25,11 +26,11 @@
             address = f"127.0.0.1:{listener.extra(SocketAttribute.local_port)}"
             path = path_over(engine(address=address))
 
-            async def stand_still() -> None:
+            async def stall() -> None:
                 await anyio.sleep(0)
                 time.sleep(probe_timeout(gateway_state(), "p") * factor)
 
-            tasks.start_soon(stand_still)
+            tasks.start_soon(stall)
             lost = await find_unreachable(gateway_state(), path.engines, set())
             tasks.cancel_scope.cancel()
         await listener.aclose()
