--- a/src/ledgeladder/coordination/content_watch.py
+++ b/src/ledgeladder/coordination/content_watch.py
@@ -1,6 +1,6 @@
-"""Contents of requests as one entry box sees them: marks, ends of upstreams, what is sent nowhere.
+"""Fingerprints of request content as one entry box tracks them: crashes, suspects and quarantine.
 
-Each attempt of a caller carries another id, so that ids tell nothing of requests that come again.
+Every attempt of a caller carries a new id, so retried requests are matched by content instead.
 """
 
 from __future__ import annotations
@@ -10,137 +10,156 @@
 
 import msgspec
 
-from .crash_book import CRASH_LIMIT, CrashBook, count_ends, forget_content, note_end
+from .crash_book import CRASH_LIMIT, CrashTable, clear_crashes, crash_count, record_crash
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-MARK_BYTES: Final = 8
-"""Length of a mark. Of 4,096 marks that are remembered, one in 4e15 requests matches by chance."""
+FINGERPRINT_BYTES: Final = 8
+"""Length of a fingerprint. With 4,096 fingerprints stored, accidental matches are negligible."""
 
-UNCONFIRMED_SECONDS: Final = 10.0
-"""How long a content is sent nowhere after `CRASH_LIMIT` ends that are not confirmed yet. Control
-boxes confirm them within 5 s, three missed heartbeats and a look; what they do not confirm was a
-cut that refuses connections, and is let go."""
+UNCONFIRMED_QUARANTINE_SECONDS: Final = 10.0
+"""How long content is quarantined after `CRASH_LIMIT` unconfirmed crashes. This is longer than the
+control boxes need to confirm a crash; unconfirmed crashes come from a partition that refuses
+connections, and their content is released."""
 
-SUSPECTS_REMEMBERED: Final = 1024
-"""Suspects of other boxes that are remembered, the newest."""
+MAX_REPORTED_SUSPECTS: Final = 1024
+"""Suspects reported by other boxes that are kept, the newest."""
 
 
-class ContentWatch(msgspec.Struct, kw_only=True):
-    """What one entry box knows of contents under which upstreams end."""
+class EntryQuarantine(msgspec.Struct, kw_only=True):
+    """What one entry box knows of request content under which upstreams crashed."""
 
-    book: CrashBook = msgspec.field(default_factory=CrashBook)
-    """Ends under requests of this box."""
+    crashes: CrashTable = msgspec.field(default_factory=CrashTable)
+    """Crashes under requests of this box."""
 
-    told: dict[bytes, int] = msgspec.field(default_factory=dict)
-    """Ends under a content at all boxes together, as control boxes told, oldest first."""
+    reported: dict[bytes, int] = msgspec.field(default_factory=dict)
+    """Crashes by fingerprint over all boxes, as reported by control boxes, oldest first."""
 
-    held_until: dict[bytes, float] = msgspec.field(default_factory=dict)
-    """Until when a content is sent to no upstream, on the monotonic clock."""
+    quarantined_until: dict[bytes, float] = msgspec.field(default_factory=dict)
+    """When the quarantine of each fingerprint ends, on the monotonic clock."""
 
     @property
-    def is_calm(self) -> bool:
-        """True while nothing is suspected, so that no request needs a mark."""
-        return not (self.held_until or self.told or self.book.singles or self.book.suspects)
+    def is_empty(self) -> bool:
+        """True while nothing is suspected, in which case requests need no fingerprint."""
+        return not (
+            self.quarantined_until
+            or self.reported
+            or self.crashes.single_crashes
+            or self.crashes.suspects
+        )
 
 
-def mark_content(caller: str, method: bytes, target: bytes, body: bytes) -> bytes:
-    """Return the mark of a request: the same for each attempt, at every box.
+def compute_fingerprint(caller: str, method: bytes, target: bytes, body: bytes) -> bytes:
+    """Return the fingerprint of a request: the same for each attempt, on every box.
 
     Args:
         caller: Client account, or the caller's key where it has none.
         method: Method.
         target: Path and query.
-        body: The body, in full. Hashing 800 bytes takes 2 microseconds, 4 MB 5 ms, so that marks
-            are made only of requests that something was noted of.
+        body: The whole body. Hashing a large one takes milliseconds, which callers can avoid while
+            nothing is suspected.
 
-    >>> mark_content("a", b"GET", b"/x", b"") == mark_content("b", b"GET", b"/x", b"")
+    >>> compute_fingerprint("a", b"GET", b"/x", b"") == compute_fingerprint("b", b"GET", b"/x", b"")
     False
     """
-    digest = hashlib.blake2b(digest_size=MARK_BYTES)
+    digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (caller.encode(), method, target):
-        # Lengths keep parts from running into each other.
+        # Length prefixes keep the boundaries between the parts unambiguous.
         digest.update(len(part).to_bytes(4, "big"))
         digest.update(part)
     digest.update(body)
     return digest.digest()
 
 
-def seconds_held(watch: ContentWatch, content: bytes, now: float) -> float:
-    """Return for how many more seconds a content is sent nowhere; 0 if it may be sent."""
-    until = watch.held_until.get(content)
+def quarantine_seconds_left(quarantine: EntryQuarantine, fingerprint: bytes, now: float) -> float:
+    """Return how many seconds the quarantine of a fingerprint lasts; 0 if there is none."""
+    until = quarantine.quarantined_until.get(fingerprint)
     if until is None:
         return 0.0
     if until <= now:
-        del watch.held_until[content]
+        del quarantine.quarantined_until[fingerprint]
         return 0.0
     return until - now
 
 
-def ends_under(watch: ContentWatch, content: bytes, now: float) -> int:
-    """Return how many upstreams ended under a content; at least `CRASH_LIMIT` if it is held."""
-    if seconds_held(watch, content, now) > 0.0:
+def count_crashes_under(quarantine: EntryQuarantine, fingerprint: bytes, now: float) -> int:
+    """Return how many upstreams crashed under a fingerprint, or `CRASH_LIMIT` in quarantine."""
+    if quarantine_seconds_left(quarantine, fingerprint, now) > 0.0:
         return CRASH_LIMIT
-    return max(watch.told.get(content, 0), count_ends(watch.book, content))
+    return max(
+        quarantine.reported.get(fingerprint, 0), crash_count(quarantine.crashes, fingerprint)
+    )
 
 
-def note_own_end(watch: ContentWatch, content: bytes, instance: str, now: float) -> int:
-    """Note that an upstream ended under a request of this box.
+def record_own_crash(
+    quarantine: EntryQuarantine, fingerprint: bytes, instance: str, now: float
+) -> int:
+    """Record that an upstream crashed under a request of this box.
 
     Args:
-        watch: What this box knows.
-        content: Mark of the request's content.
-        instance: Run of the upstream.
+        quarantine: What this box knows.
+        fingerprint: Fingerprint of the request.
+        instance: Instance of the upstream.
         now: Monotonic time.
 
     Returns:
-        Ends under the content at this box, of which the control boxes must be told; 0 if this one
-        was known.
+        Number of crashes under the fingerprint at this box, to be reported to the control boxes; 0
+        if this crash was recorded before.
     """
-    if not note_end(watch.book, content, instance):
+    if not record_crash(quarantine.crashes, fingerprint, instance):
         return 0
-    ends = count_ends(watch.book, content)
-    if ends >= CRASH_LIMIT:
-        _hold(watch, content, now)
-    return ends
+    crashes = crash_count(quarantine.crashes, fingerprint)
+    if crashes >= CRASH_LIMIT:
+        _quarantine(quarantine, fingerprint, now)
+    return crashes
 
 
-def _hold(watch: ContentWatch, content: bytes, now: float) -> None:
-    """Send a content nowhere until the control boxes have confirmed that it is to blame."""
-    forget_content(watch.book, content)
-    watch.told.pop(content, None)
-    until = now + UNCONFIRMED_SECONDS
-    watch.held_until[content] = max(until, watch.held_until.get(content, until))
+def _quarantine(quarantine: EntryQuarantine, fingerprint: bytes, now: float) -> None:
+    """Quarantine a fingerprint until the control boxes confirm the crashes."""
+    clear_crashes(quarantine.crashes, fingerprint)
+    quarantine.reported.pop(fingerprint, None)
+    until = now + UNCONFIRMED_QUARANTINE_SECONDS
+    quarantine.quarantined_until[fingerprint] = max(
+        until, quarantine.quarantined_until.get(fingerprint, until)
+    )
 
 
-def note_answered(watch: ContentWatch, content: bytes) -> bool:
-    """Note that a request was answered in full: the ends under its content had other causes.
+def record_answered(quarantine: EntryQuarantine, fingerprint: bytes) -> bool:
+    """Record that a request was answered in full, so its content did not cause the crashes.
 
     Returns:
-        True if any were known, so that the control boxes must be told.
+        True if crashes were recorded, which must then be cleared at the control boxes as well.
     """
-    was_told = watch.told.pop(content, None) is not None
-    return forget_content(watch.book, content) or was_told
+    was_reported = quarantine.reported.pop(fingerprint, None) is not None
+    return clear_crashes(quarantine.crashes, fingerprint) or was_reported
 
 
-def take_suspect(watch: ContentWatch, content: bytes, ends: int, now: float) -> None:
-    """Take in that several upstreams have ended under a content, at this box or others."""
-    if ends >= CRASH_LIMIT:
-        _hold(watch, content, now)
+def apply_suspect(
+    quarantine: EntryQuarantine, fingerprint: bytes, crashes: int, now: float
+) -> None:
+    """Apply a report that several upstreams crashed under a fingerprint, at any boxes."""
+    if crashes >= CRASH_LIMIT:
+        _quarantine(quarantine, fingerprint, now)
         return
-    watch.told[content] = ends
-    while len(watch.told) > SUSPECTS_REMEMBERED:
-        del watch.told[next(iter(watch.told))]
+    quarantine.reported[fingerprint] = crashes
+    while len(quarantine.reported) > MAX_REPORTED_SUSPECTS:
+        del quarantine.reported[next(iter(quarantine.reported))]
 
 
-def take_held(watch: ContentWatch, seconds_left: Mapping[bytes, float], now: float) -> list[bytes]:
-    """Take in which contents are sent nowhere, and for how many seconds.
+def apply_quarantine(
+    quarantine: EntryQuarantine, seconds_left: Mapping[bytes, float], now: float
+) -> list[bytes]:
+    """Apply a report of which fingerprints are quarantined, and for how many seconds.
 
     Returns:
-        Those that were not known to be.
+        Fingerprints that were not quarantined before.
     """
-    added = [content for content in seconds_left if content not in watch.held_until]
-    for content, seconds in seconds_left.items():
-        watch.held_until[content] = now + seconds
+    added = [
+        fingerprint
+        for fingerprint in seconds_left
+        if fingerprint not in quarantine.quarantined_until
+    ]
+    for fingerprint, seconds in seconds_left.items():
+        quarantine.quarantined_until[fingerprint] = now + seconds
     return added
--- a/src/ledgeladder/coordination/crash_book.py
+++ b/src/ledgeladder/coordination/crash_book.py
@@ -1,8 +1,8 @@
-"""Contents of requests under which upstreams ended, and when one of them is to blame.
+"""Counts upstream crashes by request fingerprint and decides which requests are to blame.
 
-An upstream that ends takes every request on it along, and nothing tells which of them did it. One
-request that is on each upstream that ends is to blame; others are so by chance, or since they were
-sent on to the same upstream as the one that is, so that several ends are needed.
+A crash of an upstream interrupts every request on it, and does not show which one caused it. The
+request that caused it is present in every such crash, while others are present by chance, or
+because they were retried on the same upstream. Several crashes are therefore required.
 """
 
 from __future__ import annotations
@@ -15,90 +15,88 @@
     from collections.abc import Callable, Iterator
 
 CRASH_LIMIT: Final = 3
-"""Upstreams that may end under one content. At 39 streams a second over 10 engines, a content to
-blame takes 0.1 innocent ones along, and where an engine ends by chance every 2 s, 6 innocent
-requests in 10,000 are refused. With two ends it is 1.9, and 110 in 10,000; with four none, but each
-further end cuts another 14 streams (`tests/routing/crash_bed.py`, 10 seeds of 40 s)."""
+"""Crashes after which a fingerprint is to blame. A lower limit blames requests that share an
+upstream with the cause by chance; each further crash interrupts more streams."""
 
-SINGLES_REMEMBERED: Final = 4096
-"""Contents with one end that are kept, the newest: all requests of a failure domain that is lost at
-6,500 requests a second, of which each lasts two seconds, twice over. They take 0.56 MB."""
+MAX_SINGLE_CRASHES: Final = 4096
+"""Fingerprints with one crash that are kept, the newest. This exceeds the number of requests that
+are in progress in a large failure domain when it is lost."""
 
-SUSPECTS_REMEMBERED: Final = 1024
-"""Contents with several ends that are kept, the newest. Losses by chance make a handful a day."""
+MAX_SUSPECTS: Final = 1024
+"""Fingerprints with several crashes that are kept, the newest."""
 
 
-class CrashBook(msgspec.Struct, kw_only=True):
-    """Ends of upstreams by the content of the requests that were on them."""
+class CrashTable(msgspec.Struct, kw_only=True):
+    """Crashed instances of upstreams by fingerprint of the requests that were on them."""
 
-    singles: dict[bytes, str] = msgspec.field(default_factory=dict)
-    """The run of an upstream that ended, by content, where there is only one; oldest first."""
+    single_crashes: dict[bytes, str] = msgspec.field(default_factory=dict)
+    """The crashed instance by fingerprint, where there is only one; oldest first."""
 
     suspects: dict[bytes, set[str]] = msgspec.field(default_factory=dict)
-    """The runs of upstreams that ended, by content, where there are several; oldest first."""
+    """The crashed instances by fingerprint, where there are several; oldest first."""
 
 
-def note_end(book: CrashBook, content: bytes, instance: str) -> bool:
-    """Note that an upstream ended while a request was on it.
+def record_crash(table: CrashTable, fingerprint: bytes, instance: str) -> bool:
+    """Record that an upstream crashed while a request was on it.
 
     Args:
-        book: The book.
-        content: Mark of the request's content.
-        instance: Run of the upstream; one that ends under several attempts counts once.
+        table: The table.
+        fingerprint: Fingerprint of the request.
+        instance: Instance of the upstream; it counts once, even if several attempts were on it.
 
     Returns:
-        True if it was not known.
+        True if it was not recorded before.
     """
-    ends = book.suspects.get(content)
-    if ends is not None:
-        if instance in ends:
+    crashes = table.suspects.get(fingerprint)
+    if crashes is not None:
+        if instance in crashes:
             return False
-        ends.add(instance)
+        crashes.add(instance)
         return True
-    single = book.singles.get(content)
+    single = table.single_crashes.get(fingerprint)
     if single is None:
-        book.singles[content] = instance
-        _forget_oldest(book.singles, SINGLES_REMEMBERED)
+        table.single_crashes[fingerprint] = instance
+        _evict_oldest(table.single_crashes, MAX_SINGLE_CRASHES)
         return True
     if single == instance:
         return False
-    del book.singles[content]
-    book.suspects[content] = {single, instance}
-    _forget_oldest(book.suspects, SUSPECTS_REMEMBERED)
+    del table.single_crashes[fingerprint]
+    table.suspects[fingerprint] = {single, instance}
+    _evict_oldest(table.suspects, MAX_SUSPECTS)
     return True
 
 
-def _forget_oldest(kept: dict[bytes, str] | dict[bytes, set[str]], most: int) -> None:
-    while len(kept) > most:
-        del kept[next(iter(kept))]
+def _evict_oldest(entries: dict[bytes, str] | dict[bytes, set[str]], max_entries: int) -> None:
+    while len(entries) > max_entries:
+        del entries[next(iter(entries))]
 
 
-def count_ends(book: CrashBook, content: bytes) -> int:
-    """Return how many upstreams ended under a content."""
-    if content in book.suspects:
-        return len(book.suspects[content])
-    return 1 if content in book.singles else 0
+def crash_count(table: CrashTable, fingerprint: bytes) -> int:
+    """Return how many upstreams crashed under a fingerprint."""
+    if fingerprint in table.suspects:
+        return len(table.suspects[fingerprint])
+    return 1 if fingerprint in table.single_crashes else 0
 
 
-def forget_content(book: CrashBook, content: bytes) -> bool:
-    """Forget the ends under a content: it was answered, so that others were to blame.
+def clear_crashes(table: CrashTable, fingerprint: bytes) -> bool:
+    """Clear the crashes under a fingerprint whose request was answered and is not to blame.
 
     Returns:
-        False if none was known.
+        False if none was recorded.
     """
-    single = book.singles.pop(content, None)
-    several = book.suspects.pop(content, None)
+    single = table.single_crashes.pop(fingerprint, None)
+    several = table.suspects.pop(fingerprint, None)
     return single is not None or several is not None
 
 
-def blamed_contents(book: CrashBook, has_ended: Callable[[str], bool]) -> Iterator[bytes]:
-    """Yield the contents that are to blame.
+def blamed_fingerprints(table: CrashTable, has_exited: Callable[[str], bool]) -> Iterator[bytes]:
+    """Yield the fingerprints that are to blame.
 
     Args:
-        book: The book.
-        has_ended: Tells whether a run of an upstream has ended for certain. A box behind a cut that
-            refuses connections takes every upstream beyond it for ended.
+        table: The table.
+        has_exited: Returns whether the exit of an instance is confirmed. A box behind a partition
+            that refuses connections takes every upstream beyond it for crashed.
     """
-    for content, ends in book.suspects.items():
-        if len(ends) >= CRASH_LIMIT and sum(map(has_ended, ends)) >= CRASH_LIMIT:
-            yield content
+    for fingerprint, crashes in table.suspects.items():
+        if len(crashes) >= CRASH_LIMIT and sum(map(has_exited, crashes)) >= CRASH_LIMIT:
+            yield fingerprint
--- a/src/ledgeladder/coordination/rate_lending.py
+++ b/src/ledgeladder/coordination/rate_lending.py
@@ -1,15 +1,16 @@
-"""Lending requests to upstreams that name how many they take a second, never more than that.
-
-The pattern: an upstream in need names two requests a second, for all boxes together. An even share
-of eight boxes is one request in four seconds, of hundreds one in minutes, and most of these go
-unused, as callers are elsewhere. So requests are lent to the boxes that have some. Each voter of
-the replicated log lends the same part of the rate, whatever it knows of the others. One that starts
-or becomes a voter begins with nothing saved. So all of them together never lend more than the rate,
-whatever is cut off, restarts, stands still or changes places: in any span of time they lend the
-rate times its length, and besides what they may have saved, one request or `BURST_SECONDS` each.
-
-A box that reaches no voter sends nothing to such an upstream. A fixed part for that case would be
-lost at every box that has no callers for it, at all times.
+"""Grants of requests to boxes, within the rate that an upstream advertises for all of them.
+
+Dividing a low rate evenly over many boxes would leave most of it unused, since only some of them
+have callers. Requests are therefore granted to the boxes that ask.
+
+Each voter of the replicated log grants an equal part of the rate from a token bucket of its own,
+without coordination with the others. A voter starts with an empty bucket. In any interval all
+voters together thus grant at most the rate times its length, plus what their buckets hold: one
+request or `BURST_SECONDS` of their part each. This holds across partitions, restarts, pauses and
+changes of voters.
+
+A box that reaches no voter sends nothing to such an upstream. Reserving a fixed part for that case
+would waste it on every box without callers.
 """
 
 from __future__ import annotations
@@ -19,76 +20,78 @@
 
 import msgspec
 
-from .rate_limit import RateLimit, bound, mean_gap
+from .rate_limit import RateLimit, effective_rate, mean_interval
 
 BURST_SECONDS: Final = 0.75
-"""For how long a voter saves what nobody asks for. A box that asks alone comes back after a second;
-what is saved comes on top of the rate when many ask again."""
+"""Capacity of a bucket, in seconds of the voter's part of the rate. A box asks again after a
+second; the capacity is sent in excess of the rate when many boxes ask at once."""
 
-ASKERS_SECONDS: Final = 2.5
-"""How long a box counts as one that asks: over two of the intervals at which boxes do."""
+REQUESTER_TTL_SECONDS: Final = 2.5
+"""How long a box counts as a requester: more than two of its request intervals."""
 
 
-class RateBook(msgspec.Struct, kw_only=True):
-    """What one voter lends of the rate of one upstream."""
+class RateLedger(msgspec.Struct, kw_only=True):
+    """Token bucket of one voter for the rate of one upstream."""
 
     limit: RateLimit
     """The limit."""
 
-    saved: float = 0.0
-    """Requests that it may lend now. Negative after requests of its own, which it cannot hold
-    back."""
+    tokens: float = 0.0
+    """Requests that may be granted now. Negative after requests of the voter's own, which it sends
+    without a grant."""
 
-    saved_at: float
-    """Up to when they were counted, on the monotonic clock."""
+    refilled_at: float
+    """When tokens were last added, on the monotonic clock."""
 
-    askers: dict[str, float] = msgspec.field(default_factory=dict)
+    requesters: dict[str, float] = msgspec.field(default_factory=dict)
     """When each box last asked, on the monotonic clock."""
 
 
-def lend(book: RateBook, wanted: int, parts: int, now: float) -> int:
-    """Lend requests.
+def grant_requests(ledger: RateLedger, wanted: int, parts: int, now: float) -> int:
+    """Grant requests to a box.
 
     Args:
-        book: What was lent before.
-        wanted: Requests that a box asks for.
-        parts: Into how many parts the rate is divided; at least the number of voters.
-        now: Monotonic time; the caller is a voter then.
+        ledger: The bucket.
+        wanted: Requests that the box asks for.
+        parts: Number of parts into which the rate is divided; at least the number of voters.
+        now: Monotonic time, at which the caller is a voter.
 
     Returns:
         Requests that the box may send.
     """
-    _save(book, parts, now)
-    if math.isinf(book.saved):
+    _refill(ledger, parts, now)
+    if math.isinf(ledger.tokens):
         return wanted
-    count = max(0, min(wanted, int(book.saved)))
-    book.saved -= count
+    count = max(0, min(wanted, int(ledger.tokens)))
+    ledger.tokens -= count
     return count
 
 
-def spend(book: RateBook, count: int, parts: int, now: float) -> None:
-    """Count requests that this voter sends itself; less is lent for as long."""
-    _save(book, parts, now)
-    book.saved -= count
+def charge_own_requests(ledger: RateLedger, count: int, parts: int, now: float) -> None:
+    """Charge requests that this voter sends itself, which reduces later grants."""
+    _refill(ledger, parts, now)
+    ledger.tokens -= count
 
 
-def _save(book: RateBook, parts: int, now: float) -> None:
-    rate = bound(book.limit, now) / parts
+def _refill(ledger: RateLedger, parts: int, now: float) -> None:
+    rate = effective_rate(ledger.limit, now) / parts
     if math.isinf(rate):
-        book.saved = rate
+        ledger.tokens = rate
         return
-    gained = rate * (now - book.saved_at)
-    book.saved = min(book.saved + gained, max(1.0, rate * BURST_SECONDS))
-    book.saved_at = now
+    gained = rate * (now - ledger.refilled_at)
+    ledger.tokens = min(ledger.tokens + gained, max(1.0, rate * BURST_SECONDS))
+    ledger.refilled_at = now
 
 
-def note_asker(book: RateBook, box: str, now: float) -> None:
-    """Note that a box asks for requests."""
-    book.askers[box] = now
-    for name in [name for name, at in book.askers.items() if now - at > ASKERS_SECONDS]:
-        del book.askers[name]
+def record_requester(ledger: RateLedger, box: str, now: float) -> None:
+    """Record that a box asks for requests, and drop boxes that no longer do."""
+    ledger.requesters[box] = now
+    for name in [
+        name for name, at in ledger.requesters.items() if now - at > REQUESTER_TTL_SECONDS
+    ]:
+        del ledger.requesters[name]
 
 
-def mean_wait(book: RateBook, now: float) -> float:
-    """Return how long a box that asks waits for a request in the mean, in seconds."""
-    return max(1, len(book.askers)) * mean_gap(book.limit, now)
+def mean_wait(ledger: RateLedger, now: float) -> float:
+    """Return the mean time that a requesting box waits for a request, in seconds."""
+    return max(1, len(ledger.requesters)) * mean_interval(ledger.limit, now)
--- a/src/ledgeladder/coordination/rate_limit.py
+++ b/src/ledgeladder/coordination/rate_limit.py
@@ -1,7 +1,7 @@
-"""The requests a second that an upstream takes from all boxes together, as it names them itself.
+"""Rate limits that upstreams advertise, in requests per second over all boxes together.
 
-It holds for as long as the upstream's answers say so. Whoever believes an older word than another
-box takes over the newer one, so that boxes which exchange what they know agree.
+A limit is in force while the upstream's answers advertise it. Boxes that exchange limits converge,
+since the more recent observation replaces the older one.
 """
 
 from __future__ import annotations
@@ -11,155 +11,164 @@
 
 import msgspec
 
-MOST_RATE: Final = 1e6
-"""Requests a second from which on a limit is none: hundreds of times what all boxes send."""
+MAX_RATE: Final = 1e6
+"""Requests per second at and above which an advertised limit is treated as no limit."""
 
-BELIEVED_SECONDS: Final = 10.0
-"""How long a limit counts after an answer last named it. Only answers tell that it has ended. An
-upstream that takes none gives none, nor does an engine that no path begins with any more."""
+LIMIT_TTL_SECONDS: Final = 10.0
+"""How long a limit stays in force after an answer last advertised it. Only answers show that a
+limit was withdrawn, and an upstream that gets no requests sends none."""
 
-RETURN_RATE: Final = 1.0
-"""Least requests a second from which on the bound rises once a limit has ended."""
+RECOVERY_MIN_RATE: Final = 1.0
+"""Requests per second from which the rate recovers at least after a limit was withdrawn."""
 
-DOUBLING_SECONDS: Final = 0.5
-"""Time in which the bound doubles then. Answers that name a limit again come sooner."""
+RECOVERY_DOUBLING_SECONDS: Final = 0.5
+"""Time in which the rate doubles during recovery. An upstream that is still overloaded advertises a
+limit again sooner than that."""
 
-RETURN_SECONDS: Final = 4.0
-"""How long the bound rises before there is none."""
+RECOVERY_SECONDS: Final = 4.0
+"""Duration of the recovery, after which there is no limit."""
 
-GRANT_SECONDS: Final = 1.0
-"""How long a request that was lent may be sent, from the moment of asking. Boxes ask once a second,
-and what one of them does not use is lost to the others for as long."""
+GRANT_TTL_SECONDS: Final = 1.0
+"""How long a granted request may be sent, counted from when the grant was requested. Boxes request
+once a second, and a grant that one of them does not use is unavailable to the others until then."""
 
-SURE_SECONDS: Final = 1.0
-"""Age of the last word of the leader up to which a voter lends. One that is cut off stops long
-before another one takes its place."""
+LEADER_CONTACT_SECONDS: Final = 1.0
+"""Maximum age of the leader's last message for a voter to grant requests. A partitioned voter thus
+stops granting before it is replaced."""
 
 
 class RateLimit(msgspec.Struct, kw_only=True):
-    """What is known of the limit of one run of an upstream."""
+    """What is known of the rate limit of one instance of an upstream."""
 
     rate: float
-    """Requests a second that it named last."""
+    """Requests per second that it advertised last."""
 
-    named_at: float
-    """When an answer last named it, on the monotonic clock."""
+    advertised_at: float
+    """When an answer last advertised a limit, on the monotonic clock."""
 
-    ended_at: float = float("-inf")
-    """When an answer last named none, likewise."""
+    withdrawn_at: float = float("-inf")
+    """When an answer last showed that the limit was withdrawn, on the monotonic clock."""
 
     @property
-    def is_named(self) -> bool:
-        """True while the newest answer names it."""
-        return self.named_at >= self.ended_at
+    def is_advertised(self) -> bool:
+        """True while the newest answer advertises the limit."""
+        return self.advertised_at >= self.withdrawn_at
 
 
-def name_rate(limit: RateLimit, rate: float, now: float) -> bool:
-    """Take in that an answer names a rate.
+def record_rate(limit: RateLimit, rate: float, now: float) -> bool:
+    """Record that an answer advertises a rate.
 
     Returns:
-        True if that is another one than before, or none was named before.
+        True if the rate changed, or if none was advertised before.
     """
-    changed = not limit.is_named or limit.rate != rate
-    limit.rate, limit.named_at = rate, now
+    changed = not limit.is_advertised or limit.rate != rate
+    limit.rate, limit.advertised_at = rate, now
     return changed
 
 
-def end_rate(limit: RateLimit, sent_at: float, now: float) -> bool:
-    """Take in that an answer names no rate.
+def record_no_rate(limit: RateLimit, sent_at: float, now: float) -> bool:
+    """Record that an answer advertises no rate.
 
-    An answer that was written before the newest one that names a rate may come after it.
+    An answer may arrive after a newer one that advertises a rate.
 
     Args:
         limit: The limit.
-        sent_at: When the request was sent, on the monotonic clock. Only an answer to a request that
-            was sent after a rate was named shows that none is named any more.
+        sent_at: When the request was sent, on the monotonic clock. Only the answer to a request
+            that was sent after the last advertisement shows that the limit was withdrawn.
         now: Monotonic time.
 
     Returns:
-        True if the limit has ended by that.
+        True if this withdraws the limit.
     """
-    if not limit.is_named or sent_at <= limit.named_at:
+    if not limit.is_advertised or sent_at <= limit.advertised_at:
         return False
-    limit.ended_at = now
+    limit.withdrawn_at = now
     return True
 
 
-def bound(limit: RateLimit, now: float) -> float:
-    """Return how many requests a second all boxes together may send; infinite for any number.
+def effective_rate(limit: RateLimit, now: float) -> float:
+    """Return the requests per second that all boxes together may send; infinite if unlimited.
 
-    Once a limit has ended the bound doubles again and again, so that an upstream which was in need
-    does not get everything back in the moment in which all boxes hear of it.
+    After a limit was withdrawn the rate doubles at fixed intervals, so the upstream does not get
+    the whole load back at once.
 
     Args:
         limit: The limit.
         now: Monotonic time.
     """
-    if limit.is_named and now - limit.named_at < BELIEVED_SECONDS:
+    if limit.is_advertised and now - limit.advertised_at < LIMIT_TTL_SECONDS:
         return limit.rate
-    returns_for = now - _ended_at(limit)
-    if returns_for >= RETURN_SECONDS:
+    recovering_for = now - _withdrawn_at(limit)
+    if recovering_for >= RECOVERY_SECONDS:
         return math.inf
-    return max(limit.rate, RETURN_RATE) * 2.0 ** (returns_for / DOUBLING_SECONDS)
+    return max(limit.rate, RECOVERY_MIN_RATE) * 2.0 ** (recovering_for / RECOVERY_DOUBLING_SECONDS)
 
 
-def mean_gap(limit: RateLimit, now: float) -> float:
-    """Return how long it takes in the mean until all boxes together may send one more, in seconds.
+def mean_interval(limit: RateLimit, now: float) -> float:
+    """Return the mean time until all boxes together may send one more request, in seconds.
 
     Args:
         limit: The limit.
         now: Monotonic time.
     """
-    rate = bound(limit, now)
+    rate = effective_rate(limit, now)
     if math.isinf(rate):
         return 0.0
-    forgotten_in = max(0.0, _ended_at(limit) - now) + 1.0 / RETURN_RATE
-    return min(1.0 / rate, forgotten_in) if rate > 0 else forgotten_in
+    expires_in = max(0.0, _withdrawn_at(limit) - now) + 1.0 / RECOVERY_MIN_RATE
+    return min(1.0 / rate, expires_in) if rate > 0 else expires_in
 
 
-def _ended_at(limit: RateLimit) -> float:
-    return limit.named_at + BELIEVED_SECONDS if limit.is_named else limit.ended_at
+def _withdrawn_at(limit: RateLimit) -> float:
+    return limit.advertised_at + LIMIT_TTL_SECONDS if limit.is_advertised else limit.withdrawn_at
 
 
-def is_over(limit: RateLimit, now: float) -> bool:
-    """Tell whether a limit bounds nothing any more, so that it may be forgotten."""
-    return math.isinf(bound(limit, now))
+def is_expired(limit: RateLimit, now: float) -> bool:
+    """Return whether a limit no longer has any effect and may be dropped."""
+    return math.isinf(effective_rate(limit, now))
 
 
-class ToldLimit(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A limit as one box tells another, whose clock is another one."""
+class ReportedLimit(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+    """A limit as reported to another box, with ages in place of times on the own clock."""
 
     rate: float
-    """Requests a second."""
+    """Requests per second."""
 
-    named_age: float
-    """How many seconds ago an answer last named it."""
+    advertised_age: float
+    """Seconds since an answer last advertised the limit."""
 
-    ended_age: float | None
-    """How many seconds ago an answer named none; None if none did."""
+    withdrawn_age: float | None
+    """Seconds since an answer showed that the limit was withdrawn; None if none did."""
 
 
-def tell(limit: RateLimit, now: float) -> ToldLimit:
-    """Return a limit as another box is told of it."""
-    ended_age = None if math.isinf(limit.ended_at) else now - limit.ended_at
-    return ToldLimit(rate=limit.rate, named_age=now - limit.named_at, ended_age=ended_age)
+def to_reported(limit: RateLimit, now: float) -> ReportedLimit:
+    """Return a limit in the form in which it is reported to another box."""
+    withdrawn_age = None if math.isinf(limit.withdrawn_at) else now - limit.withdrawn_at
+    return ReportedLimit(
+        rate=limit.rate, advertised_age=now - limit.advertised_at, withdrawn_age=withdrawn_age
+    )
 
 
-def from_told(told: ToldLimit, now: float) -> RateLimit:
-    """Return a limit that another box tells, on the own clock."""
-    ended_at = -math.inf if told.ended_age is None else now - told.ended_age
-    return RateLimit(rate=told.rate, named_at=now - told.named_age, ended_at=ended_at)
+def from_reported(reported: ReportedLimit, now: float) -> RateLimit:
+    """Return a limit that another box reported, with times on the own clock."""
+    withdrawn_at = -math.inf if reported.withdrawn_age is None else now - reported.withdrawn_age
+    return RateLimit(
+        rate=reported.rate, advertised_at=now - reported.advertised_age, withdrawn_at=withdrawn_at
+    )
 
 
-def take_told(limit: RateLimit, told: ToldLimit, now: float) -> bool:
-    """Take over what another box knows if that is newer.
+def merge_reported(limit: RateLimit, reported: ReportedLimit, now: float) -> bool:
+    """Replace a limit by what another box reported, if that is newer.
 
     Returns:
-        True if it names another rate, or none where one was named, or the other way round.
+        True if the rate changed, or whether a rate is advertised.
     """
-    other = from_told(told, now)
-    if max(other.named_at, other.ended_at) <= max(limit.named_at, limit.ended_at):
+    other = from_reported(reported, now)
+    if max(other.advertised_at, other.withdrawn_at) <= max(limit.advertised_at, limit.withdrawn_at):
         return False
-    before = (limit.is_named, limit.rate)
-    limit.rate, limit.named_at, limit.ended_at = other.rate, other.named_at, other.ended_at
-    return before != (limit.is_named, limit.rate)
+    before = (limit.is_advertised, limit.rate)
+    limit.rate, limit.advertised_at, limit.withdrawn_at = (
+        other.rate,
+        other.advertised_at,
+        other.withdrawn_at,
+    )
+    return before != (limit.is_advertised, limit.rate)
--- a/src/ledgeladder/coordination/rests.py
+++ b/src/ledgeladder/coordination/rests.py
@@ -1,25 +1,25 @@
-"""Engines that asked a control box for rest, and until when they get no order from it."""
+"""Back-off that engines requested from a control box, which sends them no order until it ends."""
 
 from __future__ import annotations
 
 import msgspec
 
 
-class Rests(msgspec.Struct, kw_only=True):
-    """Until when engines want nothing from this box."""
+class Backoffs(msgspec.Struct, kw_only=True):
+    """When the back-off of each engine ends."""
 
     until: dict[str, float] = msgspec.field(default_factory=dict)
-    """Monotonic times by engine; only those that asked and whose time is not known to be over."""
+    """Monotonic times by engine. An expired entry is removed when it is next checked."""
 
 
-def note_rest(rests: Rests, engine: str, seconds: float, now: float) -> None:
-    """Take in that an engine wants nothing for some time; a shorter one shortens no earlier one."""
-    rests.until[engine] = max(now + seconds, rests.until.get(engine, now))
+def record_backoff(backoffs: Backoffs, engine: str, seconds: float, now: float) -> None:
+    """Record that an engine requested back-off; a shorter request never shortens an earlier one."""
+    backoffs.until[engine] = max(now + seconds, backoffs.until.get(engine, now))
 
 
-def is_resting(rests: Rests, engine: str, now: float) -> bool:
-    """Tell whether an engine wants nothing right now; a time that is over is forgotten."""
-    if rests.until.get(engine, now) > now:
+def is_backing_off(backoffs: Backoffs, engine: str, now: float) -> bool:
+    """Return whether an engine is backing off, and remove its entry if it has expired."""
+    if backoffs.until.get(engine, now) > now:
         return True
-    rests.until.pop(engine, None)
+    backoffs.until.pop(engine, None)
     return False
--- a/src/ledgeladder/daemons/content_judge.py
+++ b/src/ledgeladder/daemons/content_judge.py
@@ -15,11 +15,11 @@
 
 from ..coordination.commands import QuarantineCommand
 from ..coordination.crash_book import (
-    CrashBook,
-    blamed_contents,
-    count_ends,
-    forget_content,
-    note_end,
+    CrashTable,
+    blamed_fingerprints,
+    clear_crashes,
+    crash_count,
+    record_crash,
 )
 from ..coordination.quarantine import seconds_left
 from ..links.messages import CrashReport, QuarantineNews, SuspectNews
@@ -58,7 +58,7 @@
     has_ended: Callable[[str], bool]
     """Tells whether a run of an upstream has ended for certain."""
 
-    book: CrashBook = msgspec.field(default_factory=CrashBook)
+    book: CrashTable = msgspec.field(default_factory=CrashTable)
     """Ends that entry boxes saw, here or at other control boxes."""
 
     told_changes: int = 0
@@ -73,11 +73,11 @@
         report: What an entry box saw.
         to_peers: True if it told this box, so that the other control boxes must be told.
     """
-    if not note_end(judge.book, report.content, report.instance):
+    if not record_crash(judge.book, report.content, report.instance):
         return
     if to_peers:
         judge.tell_peers(report)
-    ends = count_ends(judge.book, report.content)
+    ends = crash_count(judge.book, report.content)
     if ends < SUSPECT_ENDS:
         return
     logger.warning(
@@ -89,7 +89,7 @@
 
 def take_served(judge: ContentJudge, served: ContentServed, *, to_peers: bool) -> None:
     """Take in that a request with a content was answered: it is not to blame."""
-    if forget_content(judge.book, served.content) and to_peers:
+    if clear_crashes(judge.book, served.content) and to_peers:
         judge.tell_peers(served)
 
 
@@ -105,8 +105,8 @@
     """Put the contents that are to blame in quarantine; those that are there are forgotten here."""
     held = seconds_left(judge.node.state.quarantine, wall_clock_ms())
     for content in held.keys() & judge.book.suspects.keys():
-        forget_content(judge.book, content)
-    for content in list(blamed_contents(judge.book, judge.has_ended)):
+        clear_crashes(judge.book, content)
+    for content in list(blamed_fingerprints(judge.book, judge.has_ended)):
         ends = sorted(judge.book.suspects.get(content, ()))
         command = QuarantineCommand(content=content, time_ms=wall_clock_ms())
         outcome = await submit(judge.node, command)
@@ -114,7 +114,7 @@
             detail = outcome.failure().code.name
             logger.warning("quarantine failed", extra={"content": content.hex(), "detail": detail})
             return
-        forget_content(judge.book, content)
+        clear_crashes(judge.book, content)
         logger.warning("content put in quarantine", extra={"content": content.hex(), "ends": ends})
 
 
--- a/src/ledgeladder/daemons/control/hub.py
+++ b/src/ledgeladder/daemons/control/hub.py
@@ -11,8 +11,8 @@
 
 from ...coordination.commands import ClaimCommand, CompleteCommand, ReleaseCommand
 from ...coordination.raft import holds_lease
-from ...coordination.rate_limit import SURE_SECONDS
-from ...coordination.rests import Rests
+from ...coordination.rate_limit import LEADER_CONTACT_SECONDS
+from ...coordination.rests import Backoffs
 from ...coordination.state_machine import deltas_after
 from ...links import post_to_all
 from ...links.messages import (
@@ -92,7 +92,7 @@
     order_outcomes: list[OrderOutcome] = msgspec.field(default_factory=list)
     """What gates said of orders and nobody has looked at yet."""
 
-    rests: Rests = msgspec.field(default_factory=Rests)
+    rests: Backoffs = msgspec.field(default_factory=Backoffs)
     """Engines that asked this box for rest, by name."""
 
     boxes: dict[str, KnownBox] = msgspec.field(default_factory=dict)
@@ -155,7 +155,7 @@
     replica = node.replica
     if replica.is_leader:
         return holds_lease(replica, clock.now())
-    return replica.is_voter and clock.now() - replica.leader_heard_at <= SURE_SECONDS
+    return replica.is_voter and clock.now() - replica.leader_heard_at <= LEADER_CONTACT_SECONDS
 
 
 def push_configuration(hub: Hub, node: ControlNode) -> None:
--- a/src/ledgeladder/daemons/control/ordering.py
+++ b/src/ledgeladder/daemons/control/ordering.py
@@ -12,7 +12,7 @@
 from ...coordination import raft
 from ...coordination.commands import OrderCommand, OrderDoneCommand
 from ...coordination.orders import next_order, pending_orders, wanted_assignment
-from ...coordination.rests import is_resting, note_rest
+from ...coordination.rests import is_backing_off, record_backoff
 from ...http1 import RestAskedError
 from ...links.messages import FencedOrder
 from ...upstreams.engine import is_live, make_order_request, send_order
@@ -66,7 +66,7 @@
     if not managed or pending_orders(node.state.orders):
         return
     live: set[str] = set()
-    managed = [item for item in managed if not is_resting(hub.rests, item.name, clock.now())]
+    managed = [item for item in managed if not is_backing_off(hub.rests, item.name, clock.now())]
 
     async def check(upstream: Upstream) -> None:
         if await is_live(client, upstream.address):
@@ -87,12 +87,12 @@
     hub: Hub, client: httpx.AsyncClient, upstream: Upstream, request: OrderRequest
 ) -> bool:
     """Send an order, unless the engine rests; True if it holds what was ordered."""
-    if is_resting(hub.rests, upstream.name, clock.now()):
+    if is_backing_off(hub.rests, upstream.name, clock.now()):
         return False
     try:
         return await send_order(client, upstream.address, request) is True
     except RestAskedError as error:
-        note_rest(hub.rests, upstream.name, error.seconds, clock.now())
+        record_backoff(hub.rests, upstream.name, error.seconds, clock.now())
         logger.warning(
             "upstream asks for rest",
             extra={"upstream": upstream.name, "seconds": round(error.seconds, 3)},
--- a/src/ledgeladder/daemons/entry/caller_api.py
+++ b/src/ledgeladder/daemons/entry/caller_api.py
@@ -11,7 +11,7 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
-from ...coordination.content_watch import mark_content
+from ...coordination.content_watch import compute_fingerprint
 from ...model import EXECUTION_HEADER, ProblemError, ResultCode
 from ...upstreams.service import ServiceAnswer, ServiceCall
 from ..http import CODE_HEADER, not_found, problem_response
@@ -141,7 +141,7 @@
             else:
                 body = parse_body(CompletionBody, content)
                 prompt = body.prompt
-            mark = mark_content(account.name, b"POST", scope["path"].encode(), content)
+            mark = compute_fingerprint(account.name, b"POST", scope["path"].encode(), content)
             permit = make_permit(context, account, body.model, body.max_tokens, mark)
             refuse_if_held(context, permit.content)
             if not permit.pipeline.model:
@@ -201,7 +201,7 @@
         check_open(context)
         account = find_account(context, request)
         target = f"{request.url.path}?{request.url.query}".encode()
-        mark = mark_content(account.name, request.method.encode(), target, content)
+        mark = compute_fingerprint(account.name, request.method.encode(), target, content)
         permit = make_permit(context, account, request.path_params["pipeline"], 0, mark)
         if not permit.pipeline.services:
             detail = f"{permit.pipeline.name} leads to no service"
--- a/src/ledgeladder/daemons/entry/context.py
+++ b/src/ledgeladder/daemons/entry/context.py
@@ -12,7 +12,7 @@
 import msgspec
 from returns.result import Success
 
-from ...coordination.content_watch import ContentWatch
+from ...coordination.content_watch import EntryQuarantine
 from ...model import Configuration, digest
 from ...routing.admission import Admission
 from ...routing.pace import Pace
@@ -87,7 +87,7 @@
     probe_pace: Pace = msgspec.field(default_factory=Pace)
     """Times of answered probes."""
 
-    contents: ContentWatch = msgspec.field(default_factory=ContentWatch)
+    contents: EntryQuarantine = msgspec.field(default_factory=EntryQuarantine)
     """Contents under which upstreams end."""
 
     tell_controls: Callable[[LinkMessage], None] = lambda _message: None
--- a/src/ledgeladder/daemons/entry/crashes.py
+++ b/src/ledgeladder/daemons/entry/crashes.py
@@ -30,7 +30,7 @@
     Raises:
         ProblemError: If it is refused; it has not run.
     """
-    left = content_watch.seconds_held(context.contents, content, now())
+    left = content_watch.quarantine_seconds_left(context.contents, content, now())
     if left > 0.0:
         detail = f"content {content.hex()}"
         problem = Problem(code=ResultCode.QUARANTINED, detail=detail, retry_after=left)
@@ -39,7 +39,7 @@
 
 def may_be_sent(context: EntryContext, content: bytes) -> bool:
     """Tell whether a request may be sent to another upstream, after some of its were lost."""
-    return content_watch.ends_under(context.contents, content, now()) < CRASH_LIMIT
+    return content_watch.count_crashes_under(context.contents, content, now()) < CRASH_LIMIT
 
 
 async def note_lost_run(context: EntryContext, content: bytes, upstream: str, address: str) -> None:
@@ -56,7 +56,7 @@
     if not await nobody_listens(address, source, seconds=LOOK_SECONDS):
         return
     instance = f"{upstream}#{secrets.token_hex(4)}"
-    ends = content_watch.note_own_end(context.contents, content, instance, now())
+    ends = content_watch.record_own_crash(context.contents, content, instance, now())
     context.tell_controls(CrashReport(content=content, instance=instance))
     context.metrics.events["ended-under-request"] += 1
     logger.warning(
@@ -67,7 +67,7 @@
 
 def note_answered(context: EntryContext, content: bytes) -> None:
     """Note that a request was answered in full."""
-    if content_watch.note_answered(context.contents, content):
+    if content_watch.record_answered(context.contents, content):
         context.tell_controls(ContentServed(content=content))
 
 
@@ -79,9 +79,9 @@
     """
     match news:
         case SuspectNews():
-            content_watch.take_suspect(context.contents, news.content, news.ends, now())
+            content_watch.apply_suspect(context.contents, news.content, news.ends, now())
         case QuarantineNews():
-            added = content_watch.take_held(context.contents, news.seconds_left, now())
+            added = content_watch.apply_quarantine(context.contents, news.seconds_left, now())
             if added:
                 extra = {"contents": [content.hex() for content in added]}
                 logger.warning("content held", extra=extra)
--- a/src/ledgeladder/daemons/gateway/crashes.py
+++ b/src/ledgeladder/daemons/gateway/crashes.py
@@ -39,10 +39,10 @@
         ProblemError: If it is refused. No upstream has run it.
     """
     watch = state.quarantine
-    if not watch.held_until:
+    if not watch.quarantined_until:
         return
     content = content_fingerprint(trace, request, permit)
-    seconds_left = content_watch.seconds_held(watch, content, anyio.current_time())
+    seconds_left = content_watch.quarantine_seconds_left(watch, content, anyio.current_time())
     if seconds_left > 0.0:
         raise refusal(ResultCode.QUARANTINED, f"content {content.hex()}", seconds_left)
 
@@ -51,10 +51,10 @@
     state: GatewayState, permit: Permit, request: HttpRequest, trace: RequestTrace
 ) -> int:
     """Return how many upstreams the request content has crashed, as far as this box knows."""
-    if state.quarantine.is_calm:
+    if state.quarantine.is_empty:
         return 0
     content = content_fingerprint(trace, request, permit)
-    return content_watch.ends_under(state.quarantine, content, anyio.current_time())
+    return content_watch.count_crashes_under(state.quarantine, content, anyio.current_time())
 
 
 def record_crash(
@@ -82,7 +82,9 @@
         return
     content = content_fingerprint(trace, request, permit)
     instance = exited.registration.instance
-    crashes = content_watch.note_own_end(state.quarantine, content, instance, anyio.current_time())
+    crashes = content_watch.record_own_crash(
+        state.quarantine, content, instance, anyio.current_time()
+    )
     if crashes == 0:
         return
     _send_to_controls(state, CrashReport(content=content, instance=instance))
@@ -102,21 +104,23 @@
     state: GatewayState, permit: Permit, request: HttpRequest, trace: RequestTrace
 ) -> None:
     """Clear the suspicion on a request content after a complete answer, and report it."""
-    if state.quarantine.is_calm:
+    if state.quarantine.is_empty:
         return
     content = content_fingerprint(trace, request, permit)
-    if content_watch.note_answered(state.quarantine, content):
+    if content_watch.record_answered(state.quarantine, content):
         _send_to_controls(state, ContentServed(content=content))
 
 
 def handle_suspect_update(state: GatewayState, update: SuspectNews) -> None:
     """Apply the number of crashes that a request content caused at all boxes."""
-    content_watch.take_suspect(state.quarantine, update.content, update.ends, anyio.current_time())
+    content_watch.apply_suspect(state.quarantine, update.content, update.ends, anyio.current_time())
 
 
 def handle_quarantine_update(state: GatewayState, update: QuarantineNews) -> None:
     """Apply which request contents are quarantined."""
-    added = content_watch.take_held(state.quarantine, update.seconds_left, anyio.current_time())
+    added = content_watch.apply_quarantine(
+        state.quarantine, update.seconds_left, anyio.current_time()
+    )
     if added:
         logger.warning(
             "request content quarantined", extra={"contents": [content.hex() for content in added]}
--- a/src/ledgeladder/daemons/gateway/notes.py
+++ b/src/ledgeladder/daemons/gateway/notes.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ...coordination.content_watch import mark_content
+from ...coordination.content_watch import compute_fingerprint
 
 if TYPE_CHECKING:
     from ...http1 import HttpRequest
@@ -51,7 +51,9 @@
     """
     if trace.fingerprint is None:
         caller = permit.account or permit.facts.key or ""
-        trace.fingerprint = mark_content(caller, request.method, request.target, request.body)
+        trace.fingerprint = compute_fingerprint(
+            caller, request.method, request.target, request.body
+        )
     return trace.fingerprint
 
 
--- a/src/ledgeladder/daemons/gateway/state.py
+++ b/src/ledgeladder/daemons/gateway/state.py
@@ -10,7 +10,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from ...coordination.content_watch import ContentWatch
+from ...coordination.content_watch import EntryQuarantine
 from ...coordination.freshness import Freshness, is_fresh
 from ...http1 import ConnectionPool
 from ...model.traffic import CallerLimits
@@ -204,7 +204,7 @@
     next_quota_call: int = 1
     """Id of the next request for retry quota."""
 
-    quarantine: ContentWatch = msgspec.field(default_factory=ContentWatch)
+    quarantine: EntryQuarantine = msgspec.field(default_factory=EntryQuarantine)
     """Request contents under which upstreams crash, and those that are quarantined."""
 
     answer_paces: dict[str, Pace] = msgspec.field(default_factory=dict)
--- a/src/ledgeladder/daemons/limit_keeper.py
+++ b/src/ledgeladder/daemons/limit_keeper.py
@@ -13,15 +13,15 @@
 import msgspec
 
 from ..coordination.rate_limit import (
-    GRANT_SECONDS,
-    MOST_RATE,
+    GRANT_TTL_SECONDS,
+    MAX_RATE,
     RateLimit,
-    end_rate,
-    from_told,
-    is_over,
-    name_rate,
-    take_told,
-    tell,
+    from_reported,
+    is_expired,
+    merge_reported,
+    record_no_rate,
+    record_rate,
+    to_reported,
 )
 from ..links import post_to_all
 from ..links.messages import GrantReply, GrantRequest, RateLimitNews
@@ -38,7 +38,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from ..coordination.rate_limit import ToldLimit
+    from ..coordination.rate_limit import ReportedLimit
     from ..links import Link
     from ..links.messages import LinkMessage
     from ..model.exchange import NamedRate
@@ -95,7 +95,7 @@
         # It names something that nobody can keep to, and does not take back what it named before.
         return
     now = anyio.current_time()
-    if rate < MOST_RATE:
+    if rate < MAX_RATE:
         _name(keeper, upstream, rate, now)
     elif is_own:
         _end(keeper, upstream, sent_at, now)
@@ -104,8 +104,8 @@
 def _name(keeper: LimitKeeper, upstream: str, rate: float, now: float) -> None:
     held = keeper.table.limits.get(upstream)
     if held is None:
-        _hold(keeper, upstream, RateLimit(rate=rate, named_at=now))
-    elif not name_rate(held.limit, rate, now):
+        _hold(keeper, upstream, RateLimit(rate=rate, advertised_at=now))
+    elif not record_rate(held.limit, rate, now):
         return
     logger.warning("upstream names a limit", extra={"upstream": upstream, "rate": rate, "age": 0.0})
     _tell_soon(keeper, upstream)
@@ -113,7 +113,7 @@
 
 def _end(keeper: LimitKeeper, upstream: str, sent_at: float, now: float) -> None:
     held = keeper.table.limits.get(upstream)
-    if held is None or not end_rate(held.limit, sent_at, now):
+    if held is None or not record_no_rate(held.limit, sent_at, now):
         return
     logger.info("upstream names no limit any more", extra={"upstream": upstream, "age": 0.0})
     _tell_soon(keeper, upstream)
@@ -146,17 +146,17 @@
     return True
 
 
-def take_limits(keeper: LimitKeeper, limits: Mapping[str, ToldLimit]) -> None:
+def take_limits(keeper: LimitKeeper, limits: Mapping[str, ReportedLimit]) -> None:
     """Take in what a control box knows of limits, where that is newer."""
     now = anyio.current_time()
     for upstream, told in limits.items():
         held = keeper.table.limits.get(upstream)
         if held is None:
-            limit = from_told(told, now)
-            if is_over(limit, now):
+            limit = from_reported(told, now)
+            if is_expired(limit, now):
                 continue
             _hold(keeper, upstream, limit)
-        elif not take_told(held.limit, told, now):
+        elif not merge_reported(held.limit, told, now):
             continue
         _log_told(upstream, keeper.table.limits[upstream].limit, now)
     if limits:
@@ -164,12 +164,12 @@
 
 
 def _log_told(upstream: str, limit: RateLimit, now: float) -> None:
-    if limit.is_named:
-        age = round(now - limit.named_at, 3)
+    if limit.is_advertised:
+        age = round(now - limit.advertised_at, 3)
         extra = {"upstream": upstream, "rate": limit.rate, "age": age}
         logger.info("upstream names a limit", extra=extra)
     else:
-        age = round(now - limit.ended_at, 3)
+        age = round(now - limit.withdrawn_at, 3)
         logger.info("upstream names no limit any more", extra={"upstream": upstream, "age": age})
 
 
@@ -178,13 +178,13 @@
     take_limits(keeper, {upstream: grant.limit for upstream, grant in reply.grants.items()})
     asked_at = keeper.asked_at.pop(reply.call, None)
     now = anyio.current_time()
-    if asked_at is None or now >= asked_at + GRANT_SECONDS:
+    if asked_at is None or now >= asked_at + GRANT_TTL_SECONDS:
         return
     for upstream, grant in reply.grants.items():
         held = keeper.table.limits.get(upstream)
         if held is not None:
             held.wait_until = now + grant.wait
-            add_grants(held, grant.count, asked_at + GRANT_SECONDS)
+            add_grants(held, grant.count, asked_at + GRANT_TTL_SECONDS)
 
 
 async def keep_limits(keeper: LimitKeeper) -> None:
@@ -208,7 +208,7 @@
 
 def _tell_changes(keeper: LimitKeeper, links: list[Link], now: float) -> None:
     changed = {
-        upstream: tell(held.limit, now)
+        upstream: to_reported(held.limit, now)
         for upstream in keeper.changed
         if (held := keeper.table.limits.get(upstream)) is not None
     }
@@ -231,10 +231,10 @@
     if not wanted or not links:
         return
     keeper.table.asked_at = now
-    for call in [call for call, at in keeper.asked_at.items() if now - at >= GRANT_SECONDS]:
+    for call in [call for call, at in keeper.asked_at.items() if now - at >= GRANT_TTL_SECONDS]:
         del keeper.asked_at[call]
     counts = {upstream: grants_to_ask(held) for upstream, held in wanted.items()}
-    limits = {upstream: tell(held.limit, now) for upstream, held in wanted.items()}
+    limits = {upstream: to_reported(held.limit, now) for upstream, held in wanted.items()}
     turn = keeper.calls
     for number, link in enumerate(links):
         shares = {
@@ -266,6 +266,6 @@
 
 def _forget_over(keeper: LimitKeeper, now: float) -> None:
     limits = keeper.table.limits
-    for upstream in [name for name, held in limits.items() if is_over(held.limit, now)]:
+    for upstream in [name for name, held in limits.items() if is_expired(held.limit, now)]:
         del limits[upstream]
         keeper.attach(upstream, None)
--- a/src/ledgeladder/daemons/rate_lender.py
+++ b/src/ledgeladder/daemons/rate_lender.py
@@ -11,14 +11,20 @@
 import anyio
 import msgspec
 
-from ..coordination.rate_lending import RateBook, lend, mean_wait, note_asker, spend
-from ..coordination.rate_limit import from_told, is_over, take_told, tell
+from ..coordination.rate_lending import (
+    RateLedger,
+    charge_own_requests,
+    grant_requests,
+    mean_wait,
+    record_requester,
+)
+from ..coordination.rate_limit import from_reported, is_expired, merge_reported, to_reported
 from ..links.messages import Grant, GrantReply, RateLimitNews
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from ..coordination.rate_limit import ToldLimit
+    from ..coordination.rate_limit import ReportedLimit
     from ..links import Link
     from ..links.messages import GrantRequest, LinkMessage
 
@@ -48,14 +54,14 @@
     tell_peers: Callable[[LinkMessage], None]
     """Tells the other control boxes."""
 
-    books: dict[str, RateBook] = msgspec.field(default_factory=dict)
+    books: dict[str, RateLedger] = msgspec.field(default_factory=dict)
     """What it lends, by run of the upstream."""
 
     told_at: float = float("-inf")
     """When others were last told at once, on the monotonic clock."""
 
 
-def take_limits(lender: RateLender, limits: Mapping[str, ToldLimit], *, to_peers: bool) -> None:
+def take_limits(lender: RateLender, limits: Mapping[str, ReportedLimit], *, to_peers: bool) -> None:
     """Take in what another box knows of limits, and tell others what is news.
 
     Args:
@@ -74,29 +80,29 @@
         lender.tell_peers(message)
 
 
-def _take(lender: RateLender, instance: str, told: ToldLimit, now: float) -> bool:
+def _take(lender: RateLender, instance: str, told: ReportedLimit, now: float) -> bool:
     """Take in one limit; returns True if it says something new."""
     book = lender.books.get(instance)
     if book is not None:
-        changed = take_told(book.limit, told, now)
+        changed = merge_reported(book.limit, told, now)
         limit = book.limit
     else:
-        limit = from_told(told, now)
-        if is_over(limit, now):
+        limit = from_reported(told, now)
+        if is_expired(limit, now):
             return False
-        lender.books[instance] = RateBook(limit=limit, saved_at=now)
+        lender.books[instance] = RateLedger(limit=limit, refilled_at=now)
         changed = True
     if changed:
         logger.info(
             "limit of an upstream",
-            extra={"upstream": instance, "rate": limit.rate, "named": limit.is_named},
+            extra={"upstream": instance, "rate": limit.rate, "named": limit.is_advertised},
         )
     return changed
 
 
 def _news(lender: RateLender, instances: list[str], now: float) -> RateLimitNews:
     return RateLimitNews(
-        limits={instance: tell(lender.books[instance].limit, now) for instance in instances}
+        limits={instance: to_reported(lender.books[instance].limit, now) for instance in instances}
     )
 
 
@@ -110,10 +116,10 @@
             book = lender.books.get(instance)
             if book is None:
                 continue
-            note_asker(book, link.peer_box, now)
-            count = lend(book, wanted, lender.parts(), now)
+            record_requester(book, link.peer_box, now)
+            count = grant_requests(book, wanted, lender.parts(), now)
             wait = mean_wait(book, now)
-            grants[instance] = Grant(count=count, wait=wait, limit=tell(book.limit, now))
+            grants[instance] = Grant(count=count, wait=wait, limit=to_reported(book.limit, now))
     link.post(GrantReply(call=request.call, grants=grants))
 
 
@@ -121,7 +127,7 @@
     """Count calls of this box to an upstream, which take the place of requests of others."""
     book = lender.books.get(instance)
     if book is not None:
-        spend(book, count, lender.parts(), anyio.current_time())
+        charge_own_requests(book, count, lender.parts(), anyio.current_time())
 
 
 def _is_lending(lender: RateLender) -> bool:
@@ -130,7 +136,7 @@
         return True
     now = anyio.current_time()
     for book in lender.books.values():
-        book.saved, book.saved_at = min(book.saved, 0.0), now
+        book.tokens, book.refilled_at = min(book.tokens, 0.0), now
     return False
 
 
@@ -140,7 +146,9 @@
         await anyio.sleep(TELL_SECONDS)
         _is_lending(lender)
         now = anyio.current_time()
-        for instance in [name for name, book in lender.books.items() if is_over(book.limit, now)]:
+        for instance in [
+            name for name, book in lender.books.items() if is_expired(book.limit, now)
+        ]:
             del lender.books[instance]
         if lender.books:
             news = limit_news(lender)
--- a/src/ledgeladder/daemons/registry/lending.py
+++ b/src/ledgeladder/daemons/registry/lending.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from ...coordination.rate_limit import SURE_SECONDS
+from ...coordination.rate_limit import LEADER_CONTACT_SECONDS
 from ...links import post_to_all
 from ...links.messages import LoanReply
 from ...routing.repeat_loans import FLOOR_SHARE, LoanBook, lend
@@ -36,7 +36,7 @@
 def may_lend(state: RegistryState) -> bool:
     """Tell whether this box is a voter and has heard so lately."""
     age = current_knowledge(state) if state.voter_since is not None else None
-    return age is not None and age <= SURE_SECONDS
+    return age is not None and age <= LEADER_CONTACT_SECONDS
 
 
 def lending_voters(state: RegistryState) -> int:
--- a/src/ledgeladder/daemons/registry/order_sending.py
+++ b/src/ledgeladder/daemons/registry/order_sending.py
@@ -9,7 +9,7 @@
 
 from ...coordination import raft
 from ...coordination.engine_orders import OrderOutcome, note_outcome
-from ...coordination.rests import is_resting, note_rest
+from ...coordination.rests import is_backing_off, record_backoff
 from ...http1 import AnswerBrokenError, ConnectError, RestAskedError, connect
 from ...links import post_to_all
 from ...links.messages import OrderNews
@@ -81,13 +81,13 @@
         reached, carries out another one, or this box leads no more. `RESTING` if it wants nothing;
         the order is due again later, as any that was not answered.
     """
-    if is_resting(state.rests, engine.instance, clock.now()):
+    if is_backing_off(state.rests, engine.instance, clock.now()):
         return OrderOutcome.RESTING
     note_own_calls(lender_of(state), engine.instance, CALLS_OF_AN_ORDER)
     try:
         return await _send_order(state, engine, holding, fence)
     except RestAskedError as error:
-        note_rest(state.rests, engine.instance, error.seconds, clock.now())
+        record_backoff(state.rests, engine.instance, error.seconds, clock.now())
         logger.warning(
             "engine asks for rest",
             extra={"upstream": engine.instance, "seconds": round(error.seconds, 3)},
--- a/src/ledgeladder/daemons/registry/state.py
+++ b/src/ledgeladder/daemons/registry/state.py
@@ -11,7 +11,7 @@
 from ...coordination.freshness import Freshness
 from ...coordination.loss_evidence import LossEvidence
 from ...coordination.registrations import RegistrationTable
-from ...coordination.rests import Rests
+from ...coordination.rests import Backoffs
 from ...coordination.upstream_order import UpstreamOrder
 from ...model.registration import Liveness
 from ..content_judge import ContentJudge
@@ -172,7 +172,7 @@
     published_changed: anyio.Event = msgspec.field(default_factory=anyio.Event)
     """Set once a newer document was applied."""
 
-    rests: Rests = msgspec.field(default_factory=Rests)
+    rests: Backoffs = msgspec.field(default_factory=Backoffs)
     """Engines that asked this box for rest, by run."""
 
     losses: LossEvidence = msgspec.field(default_factory=LossEvidence)
--- a/src/ledgeladder/links/messages.py
+++ b/src/ledgeladder/links/messages.py
@@ -9,7 +9,7 @@
 from ..coordination.commands import Command, Result
 from ..coordination.orders import Assignment
 from ..coordination.raft import Envelope
-from ..coordination.rate_limit import ToldLimit
+from ..coordination.rate_limit import ReportedLimit
 from ..coordination.state_machine import Delta
 from ..coordination.upstream_order import LoadFigures, OrderChange, UpstreamOrder
 from ..model import Configuration, ResultCode
@@ -301,7 +301,7 @@
 class RateLimitNews(msgspec.Struct, frozen=True, kw_only=True, tag="rates", array_like=True):
     """Upstreams that name how many requests a second they take, or that name none any more."""
 
-    limits: dict[str, ToldLimit]
+    limits: dict[str, ReportedLimit]
     """What is known of their limits, by run of the upstream."""
 
 
@@ -312,7 +312,7 @@
     counts: dict[str, int]
     """Requests that it wants to send, by run of the upstream."""
 
-    limits: dict[str, ToldLimit]
+    limits: dict[str, ReportedLimit]
     """What it knows of their limits."""
 
 
@@ -320,12 +320,12 @@
     """Requests to one upstream that a voter lends."""
 
     count: int
-    """Requests that may be sent for `GRANT_SECONDS` from the asking on."""
+    """Requests that may be sent for `GRANT_TTL_SECONDS` from the asking on."""
 
     wait: float
     """How long a box waits for the next one in the mean, in seconds."""
 
-    limit: ToldLimit
+    limit: ReportedLimit
     """What the sender knows of the upstream's limit."""
 
 
--- a/src/ledgeladder/routing/rate_grants.py
+++ b/src/ledgeladder/routing/rate_grants.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ..coordination.rate_limit import RateLimit, bound, mean_gap
+from ..coordination.rate_limit import RateLimit, effective_rate, mean_interval
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -62,7 +62,7 @@
 
 def is_limited(held: HeldLimit | None, now: float) -> bool:
     """Tell whether an upstream gets only requests that were lent."""
-    return held is not None and not math.isinf(bound(held.limit, now))
+    return held is not None and not math.isinf(effective_rate(held.limit, now))
 
 
 def any_limited(all_held: Iterable[HeldLimit | None], now: float) -> bool:
@@ -134,4 +134,4 @@
     """Return how long it takes in the mean until a request may be sent, in seconds."""
     if held is None or has_grant(held, now):
         return 0.0
-    return max(held.wait_until - now, mean_gap(held.limit, now))
+    return max(held.wait_until - now, mean_interval(held.limit, now))
--- a/tests/coordination/test_crash_book.py
+++ b/tests/coordination/test_crash_book.py
@@ -1,64 +1,64 @@
-"""Contents under which upstreams ended."""
+"""Crashes of upstreams by request fingerprint."""
 
 from __future__ import annotations
 
 from ledgeladder.coordination.crash_book import (
     CRASH_LIMIT,
-    SINGLES_REMEMBERED,
-    SUSPECTS_REMEMBERED,
-    CrashBook,
-    blamed_contents,
-    count_ends,
-    forget_content,
-    note_end,
+    MAX_SINGLE_CRASHES,
+    MAX_SUSPECTS,
+    CrashTable,
+    blamed_fingerprints,
+    clear_crashes,
+    crash_count,
+    record_crash,
 )
 
-CONTENT = b"content"
+FINGERPRINT = b"content"
 
 
-def book_with(ends: int) -> CrashBook:
-    book = CrashBook()
-    for number in range(ends):
-        assert note_end(book, CONTENT, f"i-{number}")
-    return book
+def table_with(crashes: int) -> CrashTable:
+    table = CrashTable()
+    for number in range(crashes):
+        assert record_crash(table, FINGERPRINT, f"i-{number}")
+    return table
 
 
-def blamed(book: CrashBook, alive: set[str]) -> list[bytes]:
-    return list(blamed_contents(book, lambda instance: instance not in alive))
+def blamed(table: CrashTable, alive: set[str]) -> list[bytes]:
+    return list(blamed_fingerprints(table, lambda instance: instance not in alive))
 
 
-def test_content_is_to_blame_once_enough_upstreams_ended_for_certain() -> None:
-    for ends in range(CRASH_LIMIT):
-        assert blamed(book_with(ends), set()) == []
-    book = book_with(CRASH_LIMIT)
-    assert blamed(book, set()) == [CONTENT]
-    # A box behind a cut that refuses connections says so of upstreams that go on.
-    assert blamed(book, {"i-0"}) == []
+def test_fingerprint_is_blamed_once_enough_crashes_are_confirmed() -> None:
+    for crashes in range(CRASH_LIMIT):
+        assert blamed(table_with(crashes), set()) == []
+    table = table_with(CRASH_LIMIT)
+    assert blamed(table, set()) == [FINGERPRINT]
+    # A box behind a partition reports crashes of upstreams that still run.
+    assert blamed(table, {"i-0"}) == []
 
 
-def test_one_upstream_counts_once_for_a_content() -> None:
-    book = book_with(1)
-    assert not note_end(book, CONTENT, "i-0")
-    assert note_end(book, CONTENT, "i-1")
-    assert not note_end(book, CONTENT, "i-1")
-    assert count_ends(book, CONTENT) == 2
+def test_one_upstream_counts_once_for_a_fingerprint() -> None:
+    table = table_with(1)
+    assert not record_crash(table, FINGERPRINT, "i-0")
+    assert record_crash(table, FINGERPRINT, "i-1")
+    assert not record_crash(table, FINGERPRINT, "i-1")
+    assert crash_count(table, FINGERPRINT) == 2
 
 
-def test_answered_content_is_forgotten() -> None:
-    for ends in (1, 2):
-        book = book_with(ends)
-        assert forget_content(book, CONTENT)
-        assert count_ends(book, CONTENT) == 0
-        assert not forget_content(book, CONTENT)
+def test_crashes_are_cleared_after_an_answer() -> None:
+    for crashes in (1, 2):
+        table = table_with(crashes)
+        assert clear_crashes(table, FINGERPRINT)
+        assert crash_count(table, FINGERPRINT) == 0
+        assert not clear_crashes(table, FINGERPRINT)
 
 
-def test_loss_of_a_whole_failure_domain_does_not_push_suspects_out() -> None:
-    """The load: thousands of requests that are cut at once, each a content with one end."""
-    book = book_with(2)
-    for number in range(3 * SINGLES_REMEMBERED):
-        note_end(book, number.to_bytes(8, "big"), "i-domain")
-    assert len(book.singles) == SINGLES_REMEMBERED
-    assert count_ends(book, CONTENT) == 2
-    for number in range(2 * SINGLES_REMEMBERED, 3 * SINGLES_REMEMBERED):
-        note_end(book, number.to_bytes(8, "big"), "i-second")
-    assert len(book.suspects) == SUSPECTS_REMEMBERED
+def test_loss_of_a_failure_domain_does_not_evict_suspects() -> None:
+    """Thousands of fingerprints with one crash must not evict those with several."""
+    table = table_with(2)
+    for number in range(3 * MAX_SINGLE_CRASHES):
+        record_crash(table, number.to_bytes(8, "big"), "i-domain")
+    assert len(table.single_crashes) == MAX_SINGLE_CRASHES
+    assert crash_count(table, FINGERPRINT) == 2
+    for number in range(2 * MAX_SINGLE_CRASHES, 3 * MAX_SINGLE_CRASHES):
+        record_crash(table, number.to_bytes(8, "big"), "i-second")
+    assert len(table.suspects) == MAX_SUSPECTS
--- a/tests/coordination/test_rate_lending.py
+++ b/tests/coordination/test_rate_lending.py
@@ -1,8 +1,7 @@
-"""Requests that are lent under a rate which an upstream names: never more than the rate in all.
+"""Grants under a rate that an upstream advertises must never exceed it in total.
 
-The load: an upstream of a service names some requests a second for all boxes together. Callers want
-far more, at some boxes. Voters restart, stand still and answer late, change places, and are cut off
-from boxes and from each other; boxes restart with nothing.
+Demand exceeds the rate at some boxes while voters restart, pause, answer late, are replaced and are
+partitioned from boxes and from each other.
 """
 
 from __future__ import annotations
@@ -14,17 +13,17 @@
 
 from ledgeladder.coordination.rate_lending import (
     BURST_SECONDS,
-    RateBook,
-    lend,
+    RateLedger,
+    charge_own_requests,
+    grant_requests,
     mean_wait,
-    note_asker,
-    spend,
+    record_requester,
 )
 from ledgeladder.coordination.rate_limit import (
-    BELIEVED_SECONDS,
-    DOUBLING_SECONDS,
-    GRANT_SECONDS,
-    RETURN_SECONDS,
+    GRANT_TTL_SECONDS,
+    LIMIT_TTL_SECONDS,
+    RECOVERY_DOUBLING_SECONDS,
+    RECOVERY_SECONDS,
     RateLimit,
 )
 from ledgeladder.routing.rate_grants import (
@@ -36,50 +35,50 @@
     take_grants,
 )
 
-SPAN = 4.0
-"""Length of the spans in which requests are counted, in seconds."""
+WINDOW_SECONDS = 4.0
+"""Length of the windows in which requests are counted, in seconds."""
 
-PLAY_SECONDS = 40.0
+RUN_SECONDS = 40.0
 
 
 def limit(rate: float) -> RateLimit:
-    return RateLimit(rate=rate, named_at=0.0)
+    return RateLimit(rate=rate, advertised_at=0.0)
 
 
-def kept(rate: float) -> RateLimit:
-    """Return a limit that every answer names anew."""
-    return RateLimit(rate=rate, named_at=1e9)
+def unexpiring(rate: float) -> RateLimit:
+    """Return a limit that does not expire."""
+    return RateLimit(rate=rate, advertised_at=1e9)
 
 
-class Bed:
+class Simulation:
     """Boxes and voters in virtual time; each box asks one voter a second, as the gateway does."""
 
     def __init__(self, seed: int, *, rate: float, boxes: int, voters: int) -> None:
         self.rng = random.Random(seed)
         self.rate, self.voters = rate, voters
-        self.books = [RateBook(limit=kept(rate), saved_at=0.0) for _ in range(voters)]
-        self.held = [HeldLimit(limit=kept(rate)) for _ in range(boxes)]
+        self.ledgers = [RateLedger(limit=unexpiring(rate), refilled_at=0.0) for _ in range(voters)]
+        self.held = [HeldLimit(limit=unexpiring(rate)) for _ in range(boxes)]
         self.asked_at = [self.rng.uniform(-ASK_SECONDS, 0.0) for _ in range(boxes)]
         self.replies: deque[tuple[float, int, float, int]] = deque()
         self.calls = 0
         self.sent: list[float] = []
-        self.troubled = False
+        self.has_faults = False
 
     def step(self, now: float, callers: list[float]) -> None:
-        """Play one moment.
+        """Simulate one moment.
 
         Args:
             now: Time, in seconds.
-            callers: Likelihood that a caller comes at each box now.
+            callers: Probability that a caller arrives at each box now.
         """
-        if self.troubled:
-            self.cause_trouble(now)
+        if self.has_faults:
+            self.inject_faults(now)
         while self.replies and self.replies[0][0] <= now:
             _at, box, asked_at, count = self.replies.popleft()
-            if now < asked_at + GRANT_SECONDS:
-                add_grants(self.held[box], count, asked_at + GRANT_SECONDS)
-        for box, likelihood in enumerate(callers):
-            if self.rng.random() >= likelihood:
+            if now < asked_at + GRANT_TTL_SECONDS:
+                add_grants(self.held[box], count, asked_at + GRANT_TTL_SECONDS)
+        for box, probability in enumerate(callers):
+            if self.rng.random() >= probability:
                 continue
             self.held[box].wanted += 1
             if take_grants([self.held[box]], now):
@@ -92,99 +91,107 @@
         self.asked_at[box] = now
         wanted = grants_to_ask(self.held[box])
         turn = self.calls
-        for number, lender in enumerate(self.books):
+        for number, voter in enumerate(self.ledgers):
             share = share_of(wanted, (number + turn) % self.voters, self.voters)
             if share:
                 self.calls += 1
-                self.ask_lender(lender, box, share, now)
-
-    def ask_lender(self, lender: RateBook, box: int, share: int, now: float) -> None:
-        if self.troubled and self.rng.random() < 0.2:
-            return  # A cut: the question is lost.
-        count = lend(lender, share, self.voters, now)
-        late = 2.5 if self.troubled and self.rng.random() < 0.1 else 0.01
-        self.replies.append((now + late, box, now, count))
+                self.ask_voter(voter, box, share, now)
+
+    def ask_voter(self, voter: RateLedger, box: int, share: int, now: float) -> None:
+        if self.has_faults and self.rng.random() < 0.2:
+            return  # Partition: the message is lost.
+        count = grant_requests(voter, share, self.voters, now)
+        delay = 2.5 if self.has_faults and self.rng.random() < 0.1 else 0.01
+        self.replies.append((now + delay, box, now, count))
         self.replies = deque(sorted(self.replies))
 
-    def cause_trouble(self, now: float) -> None:
+    def inject_faults(self, now: float) -> None:
         if self.rng.random() < 0.01:
-            self.books[self.rng.randrange(self.voters)] = RateBook(
-                limit=kept(self.rate), saved_at=now
+            self.ledgers[self.rng.randrange(self.voters)] = RateLedger(
+                limit=unexpiring(self.rate), refilled_at=now
             )
         if self.rng.random() < 0.01:
-            self.held[self.rng.randrange(len(self.held))] = HeldLimit(limit=kept(self.rate))
+            self.held[self.rng.randrange(len(self.held))] = HeldLimit(limit=unexpiring(self.rate))
 
-    def play(self, callers: list[float], seconds: float = PLAY_SECONDS) -> None:
+    def run(self, callers: list[float], seconds: float = RUN_SECONDS) -> None:
         for number in range(int(seconds / 0.01)):
             self.step(number * 0.01, callers)
 
-    def most_in_a_span(self) -> int:
-        return max((sum(at <= x < at + SPAN for x in self.sent) for at in self.sent), default=0)
+    def max_in_a_window(self) -> int:
+        return max(
+            (sum(at <= x < at + WINDOW_SECONDS for x in self.sent) for at in self.sent), default=0
+        )
 
 
 @pytest.mark.parametrize("rate", [0.2, 2.0, 2.4, 20.0, 200.0])
 @pytest.mark.parametrize(("boxes", "voters"), [(8, 3), (66, 5), (195, 5)])
 @pytest.mark.parametrize("seed", range(2))
-def test_no_span_holds_more_than_the_rate_allows(
-    seed: int, rate: float, boxes: int, voters: int
-) -> None:
-    bed = Bed(seed, rate=rate, boxes=boxes, voters=voters)
-    bed.troubled = True
-    bed.play([0.2] * boxes, 20.0)
-    assert bed.most_in_a_span() <= rate * (SPAN + GRANT_SECONDS + BURST_SECONDS) + voters
-    assert bed.most_in_a_span() <= 1.5 * rate * SPAN + 5
+def test_no_window_exceeds_the_rate(seed: int, rate: float, boxes: int, voters: int) -> None:
+    simulation = Simulation(seed, rate=rate, boxes=boxes, voters=voters)
+    simulation.has_faults = True
+    simulation.run([0.2] * boxes, 20.0)
+    assert (
+        simulation.max_in_a_window()
+        <= rate * (WINDOW_SECONDS + GRANT_TTL_SECONDS + BURST_SECONDS) + voters
+    )
+    assert simulation.max_in_a_window() <= 1.5 * rate * WINDOW_SECONDS + 5
 
 
 @pytest.mark.parametrize("rate", [2.0, 20.0])
 @pytest.mark.parametrize("boxes", [8, 66])
-def test_requests_go_where_callers_are(rate: float, boxes: int) -> None:
-    """The pattern: callers of one box only. An even share of the rate is too little for it, while
-    what is lent gives it most of the rate."""
-    bed = Bed(1, rate=rate, boxes=boxes, voters=3)
-    bed.play([1.0] + [0.0] * (boxes - 1))
-    assert len(bed.sent) >= 0.6 * rate * PLAY_SECONDS
-    assert rate / boxes * PLAY_SECONDS < len(bed.sent) / 2
+def test_grants_follow_demand(rate: float, boxes: int) -> None:
+    """Callers at one box only must get most of the rate, of which an even share is too little."""
+    simulation = Simulation(1, rate=rate, boxes=boxes, voters=3)
+    simulation.run([1.0] + [0.0] * (boxes - 1))
+    assert len(simulation.sent) >= 0.6 * rate * RUN_SECONDS
+    assert rate / boxes * RUN_SECONDS < len(simulation.sent) / 2
 
 
-def test_whoever_starts_has_nothing_to_lend() -> None:
-    book = RateBook(limit=kept(3.0), saved_at=10.0)
-    assert lend(book, 5, 3, 10.0) == 0
-    assert lend(book, 5, 3, 10.9) == 0
-    assert lend(book, 5, 3, 11.1) == 1
+def test_voter_starts_without_tokens() -> None:
+    ledger = RateLedger(limit=unexpiring(3.0), refilled_at=10.0)
+    assert grant_requests(ledger, 5, 3, 10.0) == 0
+    assert grant_requests(ledger, 5, 3, 10.9) == 0
+    assert grant_requests(ledger, 5, 3, 11.1) == 1
 
 
-def test_nobody_saves_more_than_one_request_of_a_small_rate() -> None:
-    book = RateBook(limit=kept(2.0), saved_at=0.0)
-    assert lend(book, 5, 3, 100.0) == 1
-    assert lend(book, 5, 3, 100.1) == 0
+def test_bucket_holds_one_request_of_a_small_rate() -> None:
+    ledger = RateLedger(limit=unexpiring(2.0), refilled_at=0.0)
+    assert grant_requests(ledger, 5, 3, 100.0) == 1
+    assert grant_requests(ledger, 5, 3, 100.1) == 0
 
 
-def test_own_calls_take_the_place_of_requests() -> None:
-    book = RateBook(limit=kept(3.0), saved_at=0.0)
-    spend(book, 2, 3, 1.0)
-    assert lend(book, 1, 3, 2.0) == 0
-    assert lend(book, 1, 3, 3.1) == 1
+def test_own_requests_reduce_later_grants() -> None:
+    ledger = RateLedger(limit=unexpiring(3.0), refilled_at=0.0)
+    charge_own_requests(ledger, 2, 3, 1.0)
+    assert grant_requests(ledger, 1, 3, 2.0) == 0
+    assert grant_requests(ledger, 1, 3, 3.1) == 1
 
 
-def test_upstream_that_takes_none_gets_one_once_nobody_has_heard_it_for_long() -> None:
-    book = RateBook(limit=limit(0.0), saved_at=0.0)
-    assert lend(book, 5, 3, BELIEVED_SECONDS - 0.1) == 0
-    assert lend(book, 5, 3, BELIEVED_SECONDS + 0.1) == 0
-    assert 1 <= lend(book, 5, 3, BELIEVED_SECONDS + 1.5) < 5
+def test_limit_of_zero_grants_again_after_it_expires() -> None:
 
+    ledger = RateLedger(limit=limit(0.0), refilled_at=0.0)
+    assert grant_requests(ledger, 5, 3, LIMIT_TTL_SECONDS - 0.1) == 0
+    assert grant_requests(ledger, 5, 3, LIMIT_TTL_SECONDS + 0.1) == 0
+    assert 1 <= grant_requests(ledger, 5, 3, LIMIT_TTL_SECONDS + 1.5) < 5
 
-def test_what_is_lent_rises_once_the_limit_has_ended_until_there_is_none() -> None:
-    book = RateBook(limit=RateLimit(rate=2.0, named_at=0.0, ended_at=10.0), saved_at=10.0)
-    lent = [lend(book, 1000, 1, 10.0 + step * DOUBLING_SECONDS) for step in range(1, 5)]
-    assert lent == sorted(lent)
-    assert 0 < lent[0] < lent[-1] < 40
-    assert lend(book, 1000, 1, 10.0 + RETURN_SECONDS) == 1000
 
+def test_grants_rise_after_the_limit_is_withdrawn_until_unlimited() -> None:
+    ledger = RateLedger(
+        limit=RateLimit(rate=2.0, advertised_at=0.0, withdrawn_at=10.0), refilled_at=10.0
+    )
+    granted = [
+        grant_requests(ledger, 1000, 1, 10.0 + step * RECOVERY_DOUBLING_SECONDS)
+        for step in range(1, 5)
+    ]
+    assert granted == sorted(granted)
+    assert 0 < granted[0] < granted[-1] < 40
+    assert grant_requests(ledger, 1000, 1, 10.0 + RECOVERY_SECONDS) == 1000
 
-def test_mean_wait_follows_from_how_many_boxes_ask() -> None:
-    book = RateBook(limit=kept(2.0), saved_at=0.0)
+
+def test_mean_wait_grows_with_the_number_of_requesters() -> None:
+    ledger = RateLedger(limit=unexpiring(2.0), refilled_at=0.0)
     for name in ("a", "b", "c", "d"):
-        note_asker(book, name, 1.0)
-    assert mean_wait(book, 1.0) == 2.0
-    note_asker(book, "a", 9.0)
-    assert mean_wait(book, 9.0) == 0.5
+        record_requester(ledger, name, 1.0)
+    assert mean_wait(ledger, 1.0) == 2.0
+    record_requester(ledger, "a", 9.0)
+    assert mean_wait(ledger, 9.0) == 0.5
--- a/tests/daemons/gateway/test_crashes.py
+++ b/tests/daemons/gateway/test_crashes.py
@@ -8,8 +8,8 @@
 import anyio
 import pytest
 
-from ledgeladder.coordination.content_watch import UNCONFIRMED_SECONDS
-from ledgeladder.coordination.crash_book import CRASH_LIMIT, count_ends
+from ledgeladder.coordination.content_watch import UNCONFIRMED_QUARANTINE_SECONDS
+from ledgeladder.coordination.crash_book import CRASH_LIMIT, crash_count
 from ledgeladder.daemons.gateway.crashes import (
     count_crashes,
     handle_quarantine_update,
@@ -68,7 +68,7 @@
         problem = caught.value.problem
         assert problem.code is ResultCode.QUARANTINED
         assert problem.known_execution is Execution.NOT_RUN
-        assert problem.retry_after == pytest.approx(UNCONFIRMED_SECONDS, abs=1.0)
+        assert problem.retry_after == pytest.approx(UNCONFIRMED_QUARANTINE_SECONDS, abs=1.0)
         # Requests with other content are still served.
         refuse_quarantined(state, PERMIT, request(b"another"), RequestTrace())
 
@@ -96,7 +96,7 @@
         upstream.ended_at = anyio.current_time()
         started_at = upstream.ended_at + 1.0
         record_crash(state, PERMIT, request(), RequestTrace(), [upstream], started_at)
-        assert count_ends(state.quarantine.book, fingerprint()) == 0
+        assert crash_count(state.quarantine.crashes, fingerprint()) == 0
 
     anyio.run(play)
 
@@ -122,12 +122,12 @@
         handle_quarantine_update(
             state, QuarantineNews(seconds_left={fingerprint(b"2"): 100.0, fingerprint(b"3"): 0.0})
         )
-        for body, seconds in ((b"1", UNCONFIRMED_SECONDS), (b"2", 100.0)):
+        for body, seconds in ((b"1", UNCONFIRMED_QUARANTINE_SECONDS), (b"2", 100.0)):
             with pytest.raises(ProblemError) as caught:
                 refuse_quarantined(state, PERMIT, request(body), RequestTrace())
             assert caught.value.problem.retry_after == pytest.approx(seconds, abs=1.0)
         refuse_quarantined(state, PERMIT, request(b"3"), RequestTrace())
-        assert fingerprint(b"3") not in state.quarantine.held_until
+        assert fingerprint(b"3") not in state.quarantine.quarantined_until
 
     anyio.run(play)
 
--- a/tests/daemons/gateway/test_rate_limits.py
+++ b/tests/daemons/gateway/test_rate_limits.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from ledgeladder.coordination.rate_limit import GRANT_SECONDS, ToldLimit
+from ledgeladder.coordination.rate_limit import GRANT_TTL_SECONDS, ReportedLimit
 from ledgeladder.daemons import limit_keeper
 from ledgeladder.daemons.gateway import upstream_call
 from ledgeladder.daemons.gateway.backpressure import handle_backpressure, request_grants
@@ -28,7 +28,7 @@
 from .builders import engine, gateway_state
 from .test_backpressure import PERMIT
 
-NAMED = ToldLimit(rate=2.0, named_age=0.0, ended_age=None)
+NAMED = ReportedLimit(rate=2.0, advertised_age=0.0, withdrawn_age=None)
 
 
 class ControlBox:
@@ -119,7 +119,7 @@
         else:
             handle_answer(state, upstream, now + 1.0 if later else 0.0, status, **fields)
         assert upstream.limit is not None
-        assert upstream.limit.limit.is_named is not ends
+        assert upstream.limit.limit.is_advertised is not ends
 
     anyio.run(play)
 
@@ -132,10 +132,11 @@
         assert known is not None
         assert not takes_work(known, anyio.current_time())
         take_limits(
-            limit_keeper_of(state), {"i-9": ToldLimit(rate=2.0, named_age=9.0, ended_age=0.0)}
+            limit_keeper_of(state),
+            {"i-9": ReportedLimit(rate=2.0, advertised_age=9.0, withdrawn_age=0.0)},
         )
         assert known.limit is not None
-        assert not known.limit.limit.is_named
+        assert not known.limit.limit.is_advertised
 
     anyio.run(play)
 
@@ -175,7 +176,7 @@
         call = next(request.call for box in boxes for request in box.requests)
         take_grant_reply(limit_keeper_of(state), reply(call, 1))
         assert takes_work(upstream, anyio.current_time())
-        assert not takes_work(upstream, state.table.limits.asked_at + GRANT_SECONDS)
+        assert not takes_work(upstream, state.table.limits.asked_at + GRANT_TTL_SECONDS)
         # A duplicate reply, or one to an unknown request, grants nothing.
         take_grant_reply(limit_keeper_of(state), reply(call, 1))
         take_grant_reply(limit_keeper_of(state), reply(99, 1))
@@ -196,7 +197,7 @@
         request_grants(state, "")
         await run_keeper(state, 0.05)
         call = boxes[0].requests[0].call
-        limit_keeper_of(state).asked_at[call] -= GRANT_SECONDS
+        limit_keeper_of(state).asked_at[call] -= GRANT_TTL_SECONDS
         take_grant_reply(limit_keeper_of(state), reply(call, 1))
         assert not takes_work(upstream, anyio.current_time())
 
--- a/tests/daemons/test_late_orders.py
+++ b/tests/daemons/test_late_orders.py
@@ -11,7 +11,7 @@
 import pytest
 
 from ledgeladder.coordination.engine_orders import OrderOutcome
-from ledgeladder.coordination.rests import Rests
+from ledgeladder.coordination.rests import Backoffs
 from ledgeladder.daemons.engine_call import fetch_report, send_call
 from ledgeladder.daemons.rate_lender import RateLender
 from ledgeladder.daemons.registry import order_sending
@@ -48,7 +48,7 @@
     return SimpleNamespace(
         settings=SimpleNamespace(box=SimpleNamespace(address=LOCAL)),
         node=SimpleNamespace(replica=SimpleNamespace(term=term)),
-        rests=Rests(),
+        rests=Backoffs(),
         lender=RateLender(
             parts=lambda: 1,
             may_lend=lambda: True,
--- a/tests/daemons/test_rate_lender.py
+++ b/tests/daemons/test_rate_lender.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from ledgeladder.coordination.rate_limit import ToldLimit
+from ledgeladder.coordination.rate_limit import ReportedLimit
 from ledgeladder.daemons.rate_lender import (
     NEWS_SECONDS,
     TELL_SECONDS,
@@ -44,8 +44,8 @@
         return replies[0]
 
 
-def told(rate: float = RATE, age: float = 0.0, ended: float | None = None) -> ToldLimit:
-    return ToldLimit(rate=rate, named_age=age, ended_age=ended)
+def told(rate: float = RATE, age: float = 0.0, ended: float | None = None) -> ReportedLimit:
+    return ReportedLimit(rate=rate, advertised_age=age, withdrawn_age=ended)
 
 
 def test_news_of_an_entry_box_goes_to_all_once() -> None:
--- a/tests/routing/crash_bed.py
+++ b/tests/routing/crash_bed.py
@@ -13,7 +13,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ledgeladder.coordination.crash_book import CrashBook, count_ends, forget_content, note_end
+from ledgeladder.coordination.crash_book import (
+    CrashTable,
+    clear_crashes,
+    crash_count,
+    record_crash,
+)
 
 from .virtual_time import VirtualTime
 
@@ -82,7 +87,7 @@
         self.rng = random.Random(seed)
         self.running: dict[int, list[Stream]] = {number: [] for number in range(engines)}
         self.life: dict[int, int] = dict.fromkeys(range(engines), 0)
-        self.book = CrashBook()
+        self.book = CrashTable()
         self.held: set[bytes] = set()
         self.outcome = Outcome()
         self.rate = streams_per_second
@@ -150,7 +155,7 @@
             return
         self.running[name].remove(stream)
         self.outcome.served += 1
-        forget_content(self.book, stream.content)
+        clear_crashes(self.book, stream.content)
 
     def crash(self, name: int, life: int) -> None:
         """End an engine by the content to blame, unless it has ended meanwhile."""
@@ -166,8 +171,8 @@
         instance = f"{name}-{life}"
         for stream in cut:
             self.outcome.cut += not stream.guilty
-            note_end(self.book, stream.content, instance)
-            if count_ends(self.book, stream.content) >= self.limit:
+            record_crash(self.book, stream.content, instance)
+            if crash_count(self.book, stream.content) >= self.limit:
                 self.held.add(stream.content)
         for stream in cut:
             self.send(stream)
--- a/tests/routing/test_rate_grants.py
+++ b/tests/routing/test_rate_grants.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ledgeladder.coordination.rate_limit import RETURN_SECONDS, RateLimit
+from ledgeladder.coordination.rate_limit import RECOVERY_SECONDS, RateLimit
 from ledgeladder.model.registration import Registration
 from ledgeladder.routing.forwarding_table import (
     ForwardedUpstream,
@@ -30,7 +30,7 @@
 
 
 def held(rate: float = 2.0) -> HeldLimit:
-    return HeldLimit(limit=RateLimit(rate=rate, named_at=0.0))
+    return HeldLimit(limit=RateLimit(rate=rate, advertised_at=0.0))
 
 
 def upstream(name: str, limit: HeldLimit | None = None) -> ForwardedUpstream:
@@ -51,9 +51,9 @@
 def test_upstream_without_a_limit_gets_anything() -> None:
     assert has_grant(None, 1.0)
     assert take_grants([None], 1.0)
-    ended = HeldLimit(limit=RateLimit(rate=2.0, named_at=0.0, ended_at=1.0))
+    ended = HeldLimit(limit=RateLimit(rate=2.0, advertised_at=0.0, withdrawn_at=1.0))
     assert not has_grant(ended, 1.5)
-    assert has_grant(ended, 1.0 + RETURN_SECONDS)
+    assert has_grant(ended, 1.0 + RECOVERY_SECONDS)
 
 
 def test_path_over_two_limited_engines_takes_a_request_of_each_or_none() -> None:
