--- a/src/ledgeladder/daemons/gateway/plain.py
+++ b/src/ledgeladder/daemons/gateway/plain.py
@@ -1,4 +1,4 @@
-"""Forwarding to plain services: choice of the upstream, repeats, and the final answer."""
+"""Forwards requests to plain services: chooses upstreams, retries, and returns the final answer."""
 
 from __future__ import annotations
 
@@ -54,38 +54,38 @@
 
 logger = logging.getLogger(__name__)
 
-TRY_SHARE: Final = 0.6
-"""Part of the time that callers expect after which a repeatable request is tried elsewhere, if the
-service's own answers take no longer: the rest is for the second try."""
+FIRST_ATTEMPT_SHARE: Final = 0.6
+"""Share of the target latency after which a repeatable request is retried on another upstream,
+unless the service's answers usually take longer. The rest is for the second attempt."""
 
 WAIT_SHARE: Final = 0.5
-"""Part of the time that callers expect for which a request waits until services want work again;
-the rest is for the answer."""
+"""Share of the target latency for which a request waits until services accept work again. The rest
+is for the answer."""
 
-REFUSALS_LIMIT: Final = 3
-"""Upstreams that may refuse one request before the caller is told to come back."""
+MAX_REFUSALS: Final = 3
+"""Upstreams that may refuse one request before it is refused to the caller."""
 
 
-class _Tries(msgspec.Struct, kw_only=True):
-    """What came of a request so far."""
+class _Attempts(msgspec.Struct, kw_only=True):
+    """Attempts of one request so far."""
 
-    tried: set[str] = msgspec.field(default_factory=set)
-    """Upstreams that it was sent to or could not be sent to."""
+    instances: set[str] = msgspec.field(default_factory=set)
+    """Instances to which sending it succeeded or failed."""
 
     sent: int = 0
-    """Times it was sent, refused ones included."""
+    """Number of times that it was sent, including refused attempts."""
 
-    runs: int = 0
-    """Times it may have run."""
+    executions: int = 0
+    """Number of times that an upstream may have run it."""
 
     refusals: int = 0
-    """Upstreams that refused it as not run."""
+    """Number of upstreams that refused to run it."""
 
-    repeat: Repeat | None = None
-    """Repeat that was spent so that a try could be given up, and is not used yet."""
+    retry: Repeat | None = None
+    """Retry that was acquired before an attempt was cancelled, and is not used yet."""
 
     answer: OpenAnswer | None = None
-    """Newest answer of an upstream that ran it and failed."""
+    """Latest complete answer of an upstream that ran it."""
 
     body: bytes = b""
     """Body of that answer."""
@@ -98,154 +98,159 @@
     exchange: Exchange,
     trace: RequestTrace,
 ) -> None:
-    """Forward a request and give the caller the final answer.
+    """Forward a request, and send the final answer to the caller.
 
     Args:
-        state: The process's state.
-        permit: What the request may do.
+        state: State of the process.
+        permit: Permit of the request.
         request: The request.
-        exchange: The answering side.
-        trace: Takes what is learnt of the request.
+        exchange: Exchange on which the caller is answered.
+        trace: Trace of the request, which is updated.
 
     Raises:
         ProblemError: If no upstream answered it.
     """
-    tries = _Tries()
+    attempts = _Attempts()
     budget = retry_budget(state, permit.pool.name)
     note_first(budget, anyio.current_time())
     with anyio.move_on_after(max(0.0, permit.deadline - anyio.current_time())):
         while True:
-            upstream = _next_upstream(state, permit, tries)
+            upstream = _next_upstream(state, permit, attempts)
             if upstream is None:
-                if await _waited(state, permit, request, tries, trace):
+                if await _wait_for_capacity(state, permit, request, attempts, trace):
                     continue
                 break
-            ends = count_crashes(state, permit, request, trace)
-            if ends >= CRASH_LIMIT:
+            crashes = count_crashes(state, permit, request, trace)
+            if crashes >= CRASH_LIMIT:
                 break
-            sent_before = tries.sent
-            repeat = await _next_repeat(state, permit, tries)
-            if sent_before and repeat is None:
+            sent_before = attempts.sent
+            retry = await _next_retry(state, permit, attempts)
+            if sent_before and retry is None:
                 break
             trace.attempts += 1
             trace.path = [upstream.registration.instance]
-            if await _try_once(state, permit, request, tries, upstream, trace):
+            if await _run_attempt(state, permit, request, attempts, upstream, trace):
                 break
-            if repeat is not None and tries.sent == sent_before:
-                give_back(budget, repeat)
-    if tries.repeat is not None:
-        give_back(budget, tries.repeat)
-    if tries.answer is not None:
+            if retry is not None and attempts.sent == sent_before:
+                give_back(budget, retry)
+    if attempts.retry is not None:
+        give_back(budget, attempts.retry)
+    if attempts.answer is not None:
         record_answered(state, permit, request, trace)
-    await _finish(state, permit, request, exchange, tries)
+    await _answer_caller(state, permit, request, exchange, attempts)
 
 
-async def _next_repeat(state: GatewayState, permit: Permit, tries: _Tries) -> Repeat | None:
-    """Return the repeat for the next try; None for the first one, or if there is none."""
-    repeat, tries.repeat = tries.repeat, None
-    if repeat is not None or not tries.sent:
-        return repeat
+async def _next_retry(state: GatewayState, permit: Permit, attempts: _Attempts) -> Repeat | None:
+    """Return the retry for the next attempt; None for the first attempt, or if no retry is left."""
+    retry, attempts.retry = attempts.retry, None
+    if retry is not None or not attempts.sent:
+        return retry
     return await acquire_retry(state, permit.pool.name)
 
 
-def _next_upstream(state: GatewayState, permit: Permit, tries: _Tries) -> ForwardedUpstream | None:
-    """Choose the upstream for the next try, if there is to be one."""
-    repeatable = permit.route.kind is RequestKind.REPEATABLE
-    if tries.runs and (not repeatable or tries.runs >= permit.route.max_attempts):
+def _next_upstream(
+    state: GatewayState, permit: Permit, attempts: _Attempts
+) -> ForwardedUpstream | None:
+    """Choose the upstream for the next attempt; return None if there is to be none."""
+    is_repeatable = permit.route.kind is RequestKind.REPEATABLE
+    if attempts.executions and (
+        not is_repeatable or attempts.executions >= permit.route.max_attempts
+    ):
         return None
-    if tries.refusals >= REFUSALS_LIMIT:
+    if attempts.refusals >= MAX_REFUSALS:
         return None
     request_grants(state, permit.pool.name)
     return choose_service(
         state.table.pools.get(permit.pool.name, []),
         anyio.current_time(),
-        tried=tries.tried,
+        tried=attempts.instances,
         failure_domain=state.settings.box.failure_domain,
         sharers=state.entry_count,
         rng=state.rng,
     )
 
 
-async def _waited(
+async def _wait_for_capacity(
     state: GatewayState,
     permit: Permit,
     request: HttpRequest,
-    tries: _Tries,
+    attempts: _Attempts,
     trace: RequestTrace,
 ) -> bool:
-    """Wait if upstreams want no work for a while that the request has; True if it is tried anew."""
-    wait = _first_wait(state, permit)
-    if tries.runs or tries.refusals >= REFUSALS_LIMIT or wait is None:
+    """Wait while no upstream accepts work, if time allows; return whether to try again."""
+    wait = _seconds_to_capacity(state, permit)
+    if attempts.executions or attempts.refusals >= MAX_REFUSALS or wait is None:
         return False
     until = request.arrived_at + permit.route.target_latency * WAIT_SHARE
     if not await wait_for_upstreams(state, permit, request, trace, seconds=wait, until=until):
         return False
-    tries.tried.clear()
+    attempts.instances.clear()
     return True
 
 
-def _first_wait(state: GatewayState, permit: Permit) -> float | None:
-    """Return when the first service of the pool wants work again, in seconds.
+def _seconds_to_capacity(state: GatewayState, permit: Permit) -> float | None:
+    """Return the expected time until a service of the pool accepts work again, in seconds.
 
-    That of one that holds as much as it may is when it has answered a request.
+    A saturated service accepts work once it has answered a request.
 
     Returns:
-        None if none keeps from work by its own wish, or one of them wants some.
+        None if no service applies back-pressure, or if one accepts work now.
     """
     now = anyio.current_time()
     pool = state.table.pools.get(permit.pool.name, [])
-    if _are_at_most(state, permit):
+    if _has_saturated(state, permit):
         return answer_pace(state, permit.pool.name).mean
     return first_wait(pool, now)
 
 
-async def _try_once(
+async def _run_attempt(
     state: GatewayState,
     permit: Permit,
     request: HttpRequest,
-    tries: _Tries,
+    attempts: _Attempts,
     upstream: ForwardedUpstream,
     trace: RequestTrace,
 ) -> bool:
-    """Send a request to one upstream; returns True if its answer is final.
+    """Send a request to one upstream; return True if its answer is final.
 
-    The first try of a repeatable request gets a part of the time only, so that another one fits in.
+    The first attempt of a repeatable request gets only a share of the time, to leave room for a
+    retry.
     """
     instance = upstream.registration.instance
-    tries.tried.add(instance)
-    repeatable = permit.route.kind is RequestKind.REPEATABLE
+    attempts.instances.add(instance)
+    is_repeatable = permit.route.kind is RequestKind.REPEATABLE
     now = anyio.current_time()
     seconds = permit.deadline - now
     pool = state.table.pools.get(permit.pool.name, [])
-    may_move = repeatable and tries.runs == 0 and permit.route.max_attempts > 1
-    if may_move and has_alternative(pool, upstream, tries.tried, now):
-        seconds = min(seconds, _try_seconds(state, permit))
+    may_retry = is_repeatable and attempts.executions == 0 and permit.route.max_attempts > 1
+    if may_retry and has_alternative(pool, upstream, attempts.instances, now):
+        seconds = min(seconds, _first_attempt_seconds(state, permit))
     dispatch = Dispatch(
         instance=instance,
         account=permit.account,
         patience=permit.deadline - now,
         priority=permit.priority,
     )
-    tries.sent += 1
-    tries.runs += 1
+    attempts.sent += 1
+    attempts.executions += 1
     upstream.in_flight += 1
     outcome = "answered"
     try:
-        answer, body = await _ask(state, permit, request, dispatch, upstream, tries, seconds)
+        answer, body = await _send(state, permit, request, dispatch, upstream, attempts, seconds)
         note_gap(answer_pace(state, permit.pool.name), anyio.current_time() - now)
         if answer.facts.not_run:
             outcome = f"refused with status {answer.head.status_code}"
-        return _judge(tries, upstream, answer, body)
+        return _evaluate(attempts, upstream, answer, body)
     except NotSentError as error:
         outcome = f"not sent: {error}"
-        tries.sent -= 1
-        tries.runs -= 1
+        attempts.sent -= 1
+        attempts.executions -= 1
         note_lost(upstream, anyio.current_time())
         return False
     except BackpressureError as error:
         outcome = f"withheld: {error}"
-        tries.sent -= 1
-        tries.runs -= 1
+        attempts.sent -= 1
+        attempts.executions -= 1
         return False
     except AnswerLostError as error:
         outcome = f"lost: {error}"
@@ -256,7 +261,8 @@
     except TimeoutError:
         outcome = f"no answer within {seconds:.2f} s"
         note_failed(upstream, anyio.current_time())
-        # Connections may fall silent for good while new ones work, and the idle ones with them.
+        # Existing connections may have stalled permanently while new ones work, so idle ones are
+        # closed.
         await state.connections.close_idle(upstream.registration.address)
         return False
     finally:
@@ -264,46 +270,46 @@
         if outcome != "answered":
             state.metrics.counters["try-failed"] += 1
             logger.warning(
-                "try failed",
+                "attempt failed",
                 extra={
                     "request": permit.facts.attempt_id,
                     "content": content_fingerprint(trace, request, permit).hex(),
                     "upstream": instance,
                     "outcome": outcome,
-                    "tries": tries.sent,
+                    "tries": attempts.sent,
                 },
             )
 
 
-async def _ask(
+async def _send(
     state: GatewayState,
     permit: Permit,
     request: HttpRequest,
     dispatch: Dispatch,
     upstream: ForwardedUpstream,
-    tries: _Tries,
+    attempts: _Attempts,
     seconds: float,
 ) -> tuple[OpenAnswer, bytes]:
-    """Send a request to an upstream and read its whole answer.
+    """Send a request to an upstream and read its complete answer.
 
     Raises:
         NotSentError: If nothing was sent.
-        BackpressureError: If the upstream wants it no more.
-        AnswerLostError: If the request may have run and no whole answer came.
-        TimeoutError: If none came within some seconds, and the request may be sent again.
+        BackpressureError: If the upstream no longer accepts it.
+        AnswerLostError: If the request may have run and no complete answer arrived.
+        TimeoutError: If no answer arrived in time.
     """
     answer: tuple[OpenAnswer, bytes] | None = None
     failure: Exception = TimeoutError()
     fresh = permit.route.kind is not RequestKind.REPEATABLE
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_give_up, state, permit, tries, seconds, tasks.cancel_scope)
+        tasks.start_soon(_cancel_late_attempt, state, permit, attempts, seconds, tasks.cancel_scope)
         try:
             opened = await open_answer(
                 state, permit, request, dispatch, upstream, fresh_connection=fresh
             )
             answer = opened, await read_body(state, opened)
         except (NotSentError, BackpressureError, AnswerLostError) as error:
-            # Raised below: a task group would wrap it.
+            # Raised below, because the task group would wrap it in an exception group.
             failure = error
         tasks.cancel_scope.cancel()
     if answer is None:
@@ -311,39 +317,41 @@
     return answer
 
 
-async def _give_up(
+async def _cancel_late_attempt(
     state: GatewayState,
     permit: Permit,
-    tries: _Tries,
+    attempts: _Attempts,
     seconds: float,
     scope: anyio.CancelScope,
 ) -> None:
-    """Give a try up after some seconds, if the request may be sent again or its time is over.
+    """Cancel an attempt after a timeout if a retry is available, or else at the deadline.
 
-    Without a repeat the answer that is late is the only one that can come.
+    Without a retry, only the late answer of this attempt can still be returned.
     """
     await anyio.sleep(seconds)
     left = permit.deadline - anyio.current_time()
     if left > 0:
-        tries.repeat = await acquire_retry(state, permit.pool.name)
-        if tries.repeat is None:
+        attempts.retry = await acquire_retry(state, permit.pool.name)
+        if attempts.retry is None:
             await anyio.sleep(left)
     scope.cancel()
 
 
-def _try_seconds(state: GatewayState, permit: Permit) -> float:
-    """Return how long the first of two tries may take, in seconds.
+def _first_attempt_seconds(state: GatewayState, permit: Permit) -> float:
+    """Return the timeout of the first of two attempts, in seconds.
 
-    Answers of a service that take several times their mean are held up; before any was seen, the
-    route's own target is all that is known.
+    It is based on the mean and deviation of the service's answer times, but not shorter than a
+    share of the route's target latency.
     """
     pace = answer_pace(state, permit.pool.name)
     usual = stall_after(pace) if pace.mean > 0 else 0.0
-    return max(permit.route.target_latency * TRY_SHARE, usual)
+    return max(permit.route.target_latency * FIRST_ATTEMPT_SHARE, usual)
 
 
-def _judge(tries: _Tries, upstream: ForwardedUpstream, answer: OpenAnswer, body: bytes) -> bool:
-    """Take in a whole answer; returns True if it is final.
+def _evaluate(
+    attempts: _Attempts, upstream: ForwardedUpstream, answer: OpenAnswer, body: bytes
+) -> bool:
+    """Evaluate a complete answer; return True if it is final.
 
     Raises:
         AnswerLostError: If the upstream did not sign it.
@@ -351,61 +359,61 @@
     now = anyio.current_time()
     status = answer.head.status_code
     if answer.facts.not_run:
-        tries.runs -= 1
-        tries.refusals += 1
+        attempts.executions -= 1
+        attempts.refusals += 1
         if answer.facts.wrong_upstream:
             note_failed(upstream, now)
         else:
             note_full(upstream, now)
         return False
     if not answer.facts.signed:
-        # An answer that its upstream did not sign may belong to anybody.
+        # An unsigned answer may come from another process.
         raise AnswerLostError(f"unsigned answer with status {status}")
-    tries.answer, tries.body = answer, body
+    attempts.answer, attempts.body = answer, body
     if status >= MIN_FAILURE_STATUS:
         return False
     note_served(upstream)
     return True
 
 
-def _are_at_most(state: GatewayState, permit: Permit) -> bool:
-    """Tell whether any service of the pool is left out since it holds as much as it may."""
+def _has_saturated(state: GatewayState, permit: Permit) -> bool:
+    """Return whether any service of the pool is excluded because it is saturated."""
     now = anyio.current_time()
     pool = state.table.pools.get(permit.pool.name, [])
     return any(takes_work(item, now) and is_at_most(item, now, state.entry_count) for item in pool)
 
 
-async def _finish(
+async def _answer_caller(
     state: GatewayState,
     permit: Permit,
     request: HttpRequest,
     exchange: Exchange,
-    tries: _Tries,
+    attempts: _Attempts,
 ) -> None:
-    """Pass the newest whole answer on, a failed one too, or refuse.
+    """Send the latest complete answer to the caller, even a failed one, or refuse the request.
 
     Raises:
-        ProblemError: If no upstream gave a whole answer.
+        ProblemError: If no upstream gave a complete answer.
     """
-    if tries.answer is not None:
-        head = tries.answer.head
+    if attempts.answer is not None:
+        head = attempts.answer.head
         record_duration(state.metrics.answer, anyio.current_time() - request.arrived_at)
         headers = caller_headers(head.headers.raw_items())
-        await exchange.answer(head.status_code, headers, tries.body)
+        await exchange.answer(head.status_code, headers, attempts.body)
         return
-    if tries.runs == 0:
+    if attempts.executions == 0:
         pool, now = state.table.pools.get(permit.pool.name, []), anyio.current_time()
         wait = first_wait(pool, now)
         if wait is not None:
             is_limited = any_limited([item.limit for item in pool], now)
             code = ResultCode.UPSTREAMS_LIMITED if is_limited else ResultCode.UPSTREAMS_RESTING
             raise refusal(code, f"all of {permit.pool.name}", wait)
-        if _are_at_most(state, permit):
+        if _has_saturated(state, permit):
             raise refusal(ResultCode.QUEUE_FULL, f"as much on {permit.pool.name} as it takes")
-        if tries.refusals:
-            raise refusal(ResultCode.UPSTREAM_REFUSED, f"{tries.refusals} upstreams refused")
+        if attempts.refusals:
+            raise refusal(ResultCode.UPSTREAM_REFUSED, f"{attempts.refusals} upstreams refused")
         raise refusal(ResultCode.NO_ROUTE, f"no upstream of {permit.pool.name}", 0.5)
-    late = anyio.current_time() >= permit.deadline
-    code = ResultCode.DEADLINE_EXCEEDED if late else ResultCode.UPSTREAM_LOST
-    detail = f"sent {tries.sent} times without a whole answer"
+    is_late = anyio.current_time() >= permit.deadline
+    code = ResultCode.DEADLINE_EXCEEDED if is_late else ResultCode.UPSTREAM_LOST
+    detail = f"sent {attempts.sent} times without a whole answer"
     raise ProblemError(Problem(code=code, detail=detail, execution=Execution.UNKNOWN))
--- a/tests/daemons/gateway/test_plain.py
+++ b/tests/daemons/gateway/test_plain.py
@@ -1,4 +1,4 @@
-"""Requests to plain services whose connections fall silent for good."""
+"""Requests to plain services that stall or answer late."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from ledgeladder.daemons.gateway import plain
 from ledgeladder.daemons.gateway.notes import RequestTrace
-from ledgeladder.daemons.gateway.plain import _Tries, _try_once
+from ledgeladder.daemons.gateway.plain import _Attempts, _run_attempt
 from ledgeladder.http1 import connect
 from ledgeladder.model.traffic import RequestKind
 from ledgeladder.routing.forwarding_table import put_registration
@@ -33,16 +33,16 @@
     )
 
 
-def test_no_idle_connection_is_kept_beside_one_that_fell_silent() -> None:
+def test_idle_connections_are_closed_after_a_stalled_one() -> None:
     async def play() -> int:
-        async def silent(stream: SocketStream) -> None:
+        async def stall(stream: SocketStream) -> None:
             async with stream:
                 await anyio.sleep_forever()
 
         async with anyio.create_task_group() as tasks:
             listener = await anyio.create_tcp_listener(local_host=LOCAL)
             port = listener.extra(SocketAttribute.local_port)
-            tasks.start_soon(listener.serve, silent)
+            tasks.start_soon(listener.serve, stall)
             state = gateway_state()
             address = f"{LOCAL}:{port}"
             upstream = engine(address=address)
@@ -57,8 +57,8 @@
             request: Any = SimpleNamespace(
                 method=b"GET", target=b"/", body=b"", headers=[(b"Host", b"x")], fields={}
             )
-            final = await _try_once(
-                state, permit(anyio.current_time()), request, _Tries(), upstream, RequestTrace()
+            final = await _run_attempt(
+                state, permit(anyio.current_time()), request, _Attempts(), upstream, RequestTrace()
             )
             assert not final
             tasks.cancel_scope.cancel()
@@ -68,15 +68,14 @@
 
 
 ANSWER_SECONDS = 0.2
-"""How long services of the test below take: longer than a first try may without an answer."""
+"""Answer time of the services in the test below, longer than the timeout of a first attempt."""
 
 
 @pytest.mark.parametrize("reserve", [0.0, 200.0])
-def test_try_is_given_up_for_another_one_only_if_there_may_be_one(
+def test_attempt_is_cancelled_only_if_a_retry_is_available(
     monkeypatch: pytest.MonkeyPatch, reserve: float
 ) -> None:
-    """The pattern: a service is slow for a moment, and the budget of repeats is spent. The try was
-    cut off, and its caller got 502 although the answer was on its way."""
+    """Guards against cancelling a late attempt when the retry budget is used up."""
     answered: list[int] = []
 
     async def open_late(*_args: Any, **_options: Any) -> Any:
@@ -107,6 +106,6 @@
         await plain.forward_plain(state, permit(now), request, exchange, RequestTrace())
         return len(budget.repeats)
 
-    repeats = anyio.run(play)
+    retries = anyio.run(play)
     assert answered == [200]
-    assert repeats == (1 if reserve else 0)
+    assert retries == (1 if reserve else 0)
