--- a/src/ledgeladder/daemons/gateway/crashes.py
+++ b/src/ledgeladder/daemons/gateway/crashes.py
@@ -38,13 +38,15 @@
     Raises:
         ProblemError: If it is refused. No upstream has run it.
     """
-    watch = state.quarantine
-    if not watch.quarantined_until:
+    quarantine = state.quarantine
+    if not quarantine.quarantined_until:
         return
-    content = content_fingerprint(trace, request, permit)
-    seconds_left = content_watch.quarantine_seconds_left(watch, content, anyio.current_time())
+    fingerprint = content_fingerprint(trace, request, permit)
+    seconds_left = content_watch.quarantine_seconds_left(
+        quarantine, fingerprint, anyio.current_time()
+    )
     if seconds_left > 0.0:
-        raise refusal(ResultCode.QUARANTINED, f"content {content.hex()}", seconds_left)
+        raise refusal(ResultCode.QUARANTINED, f"content {fingerprint.hex()}", seconds_left)
 
 
 def count_crashes(
@@ -53,8 +55,8 @@
     """Return how many upstreams the request content has crashed, as far as this box knows."""
     if state.quarantine.is_empty:
         return 0
-    content = content_fingerprint(trace, request, permit)
-    return content_watch.count_crashes_under(state.quarantine, content, anyio.current_time())
+    fingerprint = content_fingerprint(trace, request, permit)
+    return content_watch.count_crashes_under(state.quarantine, fingerprint, anyio.current_time())
 
 
 def record_crash(
@@ -80,20 +82,20 @@
     exited = next((item for item in upstreams if item.ended_at >= started_at), None)
     if exited is None:
         return
-    content = content_fingerprint(trace, request, permit)
+    fingerprint = content_fingerprint(trace, request, permit)
     instance = exited.registration.instance
     crashes = content_watch.record_own_crash(
-        state.quarantine, content, instance, anyio.current_time()
+        state.quarantine, fingerprint, instance, anyio.current_time()
     )
     if crashes == 0:
         return
-    _send_to_controls(state, CrashReport(content=content, instance=instance))
+    _send_to_controls(state, CrashReport(content=fingerprint, instance=instance))
     state.metrics.counters["ended-under-request"] += 1
     logger.warning(
         "upstream exited while running a request",
         extra={
             "request": permit.facts.attempt_id,
-            "content": content.hex(),
+            "content": fingerprint.hex(),
             "upstream": instance,
             "ends": crashes,
         },
@@ -106,9 +108,9 @@
     """Clear the suspicion on a request content after a complete answer, and report it."""
     if state.quarantine.is_empty:
         return
-    content = content_fingerprint(trace, request, permit)
-    if content_watch.record_answered(state.quarantine, content):
-        _send_to_controls(state, ContentServed(content=content))
+    fingerprint = content_fingerprint(trace, request, permit)
+    if content_watch.record_answered(state.quarantine, fingerprint):
+        _send_to_controls(state, ContentServed(content=fingerprint))
 
 
 def handle_suspect_update(state: GatewayState, update: SuspectNews) -> None:
@@ -123,7 +125,8 @@
     )
     if added:
         logger.warning(
-            "request content quarantined", extra={"contents": [content.hex() for content in added]}
+            "request content quarantined",
+            extra={"contents": [fingerprint.hex() for fingerprint in added]},
         )
 
 
--- a/src/ledgeladder/daemons/gateway/stall_watch.py
+++ b/src/ledgeladder/daemons/gateway/stall_watch.py
@@ -90,7 +90,7 @@
     limit = session.timeouts.first_limit
     waited = 0.0
     while waited < limit:
-        timeout = max(stall_after(state.first_pace), session.timeouts.first_look)
+        timeout = max(stall_after(state.first_event_pace), session.timeouts.first_look)
         timeout = min(timeout, limit - waited)
         await anyio.sleep(timeout)
         waited += timeout
--- a/src/ledgeladder/daemons/gateway/state.py
+++ b/src/ledgeladder/daemons/gateway/state.py
@@ -210,7 +210,7 @@
     answer_paces: dict[str, Pace] = msgspec.field(default_factory=dict)
     """Answer times of plain services, in seconds, by pool."""
 
-    first_pace: Pace = msgspec.field(default_factory=Pace)
+    first_event_pace: Pace = msgspec.field(default_factory=Pace)
     """Times from sending a stream's attempt to its first event, in seconds."""
 
     stream_pace: Pace = msgspec.field(default_factory=Pace)
--- a/src/ledgeladder/daemons/gateway/stream.py
+++ b/src/ledgeladder/daemons/gateway/stream.py
@@ -61,7 +61,7 @@
             target_latency=permit.route.target_latency,
             gap_target=permit.route.gap_target,
             probe_seconds=probe_timeout(state, permit.pool.name),
-            first_seconds=state.first_pace.mean,
+            first_seconds=state.first_event_pace.mean,
         ),
         tokens=permit.facts.prompt_tokens + expected,
         last_progress_at=request.arrived_at,
--- a/src/ledgeladder/daemons/gateway/stream_events.py
+++ b/src/ledgeladder/daemons/gateway/stream_events.py
@@ -92,7 +92,7 @@
     if not session.started:
         record_duration(state.metrics.first_event, gap)
         session.trace.first_event = gap
-        note_gap(state.first_pace, now - started_at)
+        note_gap(state.first_event_pace, now - started_at)
     else:
         record_duration(state.metrics.gap, gap)
         session.trace.longest_gap = max(session.trace.longest_gap, gap)
