--- a/src/ledgeladder/daemons/gateway/retry_after.py
+++ b/src/ledgeladder/daemons/gateway/retry_after.py
@@ -7,7 +7,7 @@
 from ...routing.load_time import load_seconds
 
 if TYPE_CHECKING:
-    from ...routing.paths import MissingPath
+    from ...routing.paths import NoPathReason
     from .checks import Permit
     from .state import GatewayState
 
@@ -28,7 +28,7 @@
     return max(MIN_RETRY_SECONDS, state.stream_pace.mean * CAPACITY_SHARE)
 
 
-def retry_after_no_path(state: GatewayState, permit: Permit, missing: MissingPath | None) -> float:
+def retry_after_no_path(state: GatewayState, permit: Permit, missing: NoPathReason | None) -> float:
     """Return the delay until a path is expected to exist, in seconds.
 
     If engines or links are full, this is the delay until they have capacity. Missing layers are
@@ -42,6 +42,6 @@
     profile = permit.pool.engine
     engines = state.table.pools.get(permit.pool.name, [])
     held = [item.end - item.first for engine in engines for item in engine.registration.holdings]
-    if profile is None or not held or (missing is not None and missing.for_want_of_room):
+    if profile is None or not held or (missing is not None and missing.is_out_of_capacity):
         return retry_after_full(state)
     return max(MIN_RETRY_SECONDS, load_seconds(profile, sum(held) // len(held), loads=1))
--- a/src/ledgeladder/daemons/gateway/stall_watch.py
+++ b/src/ledgeladder/daemons/gateway/stall_watch.py
@@ -8,8 +8,8 @@
 import anyio
 
 from ...http1 import AnswerBrokenError, read_part
-from ...routing.link_doubts import doubt_links
 from ...routing.pace import note_false_alarm, stall_after
+from ...routing.suspected_links import suspect_links
 from .probing import find_unreachable
 from .slowdown_queries import query_slowdowns
 from .upstream_call import (
@@ -209,7 +209,7 @@
     if waited < session.timeouts.link:
         return
     known = set(state.suspected_links.until)
-    links = doubt_links(state.suspected_links, path.domains, anyio.current_time())
+    links = suspect_links(state.suspected_links, path.domains, anyio.current_time())
     if not known.issuperset(links):
         logger.warning(
             "links between failure domains avoided", extra={"links": links, "silent_for": waited}
--- a/src/ledgeladder/daemons/gateway/state.py
+++ b/src/ledgeladder/daemons/gateway/state.py
@@ -20,11 +20,11 @@
     ForwardingTable,
     attach_limit,
 )
-from ...routing.link_doubts import LinkDoubts
 from ...routing.link_load import LinkLoad
 from ...routing.pace import Pace
 from ...routing.repeat_window import RepeatWindow
 from ...routing.route_index import RouteIndex
+from ...routing.suspected_links import SuspectedLinks
 from ...routing.wait_queue import WaitQueue
 from .. import clock
 from ..limit_keeper import LimitKeeper
@@ -177,7 +177,7 @@
     suspected_domains: DomainDoubts = msgspec.field(default_factory=DomainDoubts)
     """Failure domains that may be unreachable."""
 
-    suspected_links: LinkDoubts = msgspec.field(default_factory=LinkDoubts)
+    suspected_links: SuspectedLinks = msgspec.field(default_factory=SuspectedLinks)
     """Links between failure domains that are avoided for now."""
 
     link_load: LinkLoad = msgspec.field(default_factory=LinkLoad)
--- a/src/ledgeladder/daemons/gateway/stream.py
+++ b/src/ledgeladder/daemons/gateway/stream.py
@@ -157,7 +157,7 @@
     if session.attempts <= 0 and session.sent == session.refusals:
         missing = session.missing
         if missing is not None and missing.wait_seconds is not None:
-            is_limited = missing.for_limits
+            is_limited = missing.is_rate_limited
             code = ResultCode.UPSTREAMS_LIMITED if is_limited else ResultCode.UPSTREAMS_RESTING
             raise refusal(code, session.trace.give_up_reason, missing.wait_seconds)
         if session.refusals:
--- a/src/ledgeladder/daemons/gateway/stream_attempt.py
+++ b/src/ledgeladder/daemons/gateway/stream_attempt.py
@@ -18,7 +18,7 @@
     note_full,
     note_served,
 )
-from ...routing.link_load import note_crossings
+from ...routing.link_load import record_transfer
 from ...routing.paths import ChosenPath, release, reserve
 from .crashes import record_crash
 from .notes import content_fingerprint
@@ -111,7 +111,7 @@
     assert permit.pool.engine is not None
     profile, tokens = permit.pool.engine, permit.facts.prompt_tokens
     now = anyio.current_time()
-    links = note_crossings(state.link_load, profile, path.domains, tokens, now)
+    links = record_transfer(state.link_load, profile, path.domains, tokens, now)
     session.trace.inter_domain_hops = len(links)
 
 
--- a/src/ledgeladder/daemons/gateway/stream_paths.py
+++ b/src/ledgeladder/daemons/gateway/stream_paths.py
@@ -9,10 +9,10 @@
 import msgspec
 
 from ...routing.forwarding_table import is_doubtful
-from ...routing.link_doubts import link_penalties
-from ...routing.link_load import FIRST_LIMIT, RESUME_LIMIT, link_use
-from ...routing.path_costs import OVERFULL_AT, PathRequest
-from ...routing.paths import ChosenPath, MissingPath, choose_path, explain_no_path
+from ...routing.link_load import NEW_REQUEST_LIMIT, RESUMED_STREAM_LIMIT, link_utilization
+from ...routing.path_costs import OVERCOMMIT_FRACTION, PathRequest
+from ...routing.paths import ChosenPath, NoPathReason, choose_path, explain_no_path
+from ...routing.suspected_links import link_penalties
 from .backpressure import request_grants
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
     if path is None and excluded != session.dead:
         path = choose_path(profile, engines, request, now, excluded=session.dead, rng=state.rng)
     if path is None:
-        request = msgspec.structs.replace(request, full_at=OVERFULL_AT)
+        request = msgspec.structs.replace(request, full_fraction=OVERCOMMIT_FRACTION)
         path = choose_path(profile, engines, request, now, excluded=excluded, rng=state.rng)
     return path
 
@@ -87,10 +87,10 @@
         answer_tokens=expected,
         failure_domain=state.settings.box.failure_domain,
         link_penalties=link_penalties(state.suspected_links, now),
-        link_use=link_use(state.link_load, state.entry_count, now),
-        passed=session.tried,
+        link_utilization=link_utilization(state.link_load, state.entry_count, now),
+        previous_instances=session.tried,
         stalled_after=session.timeouts.gap_look if session.dead else math.inf,
-        link_limit=RESUME_LIMIT if session.started else FIRST_LIMIT,
+        link_limit=RESUMED_STREAM_LIMIT if session.started else NEW_REQUEST_LIMIT,
         sharers=max(1.0, state.entry_count / _domain_count(state, permit)),
     )
 
@@ -101,7 +101,7 @@
     profile: EngineProfile,
     session: StreamSession,
     expected: int,
-) -> MissingPath:
+) -> NoPathReason:
     """Return why `choose_attempt_path` found no path, for logs and the response."""
     return explain_no_path(
         profile,
--- a/src/ledgeladder/daemons/gateway/stream_session.py
+++ b/src/ledgeladder/daemons/gateway/stream_session.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from ...routing.event_stream import EventOrder
-    from ...routing.paths import MissingPath
+    from ...routing.paths import NoPathReason
     from ...routing.stream_patience import StreamPatience
     from .upstream_call import OpenAnswer
 
@@ -75,7 +75,7 @@
     started: bool = False
     """True once the response head was sent to the caller."""
 
-    missing: MissingPath | None = None
+    missing: NoPathReason | None = None
     """Why the last search for a path failed; None if none failed."""
 
     failure: OpenAnswer | None = None
--- a/src/ledgeladder/routing/link_load.py
+++ b/src/ledgeladder/routing/link_load.py
@@ -22,15 +22,15 @@
 Link = tuple[str, str]
 """Two failure domains, in alphabetical order."""
 
-MEMORY_SECONDS: Final = 1.0
+DECAY_SECONDS: Final = 1.0
 """Time over which what was sent is forgotten. Shorter than a stream lasts, so that a new loss shows
 soon; long enough for a box that starts five streams a second to see some of them."""
 
-FIRST_LIMIT: Final = 0.7
+NEW_REQUEST_LIMIT: Final = 0.7
 """Share of a link up to which new requests may take it. Beyond that a prompt waits for more than
 twice the time that it takes itself, and the waits of others grow as much."""
 
-RESUME_LIMIT: Final = 0.9
+RESUMED_STREAM_LIMIT: Final = 0.9
 """The same for streams that have begun and lost an engine: what was done for them is lost if they
 find no other path."""
 
@@ -41,27 +41,27 @@
     seconds: dict[Link, float] = msgspec.field(default_factory=dict)
     """Time that it takes on each link, in seconds; older parts count less and less."""
 
-    at: float = 0.0
+    updated_at: float = 0.0
     """When that was last brought up to date, on the monotonic clock."""
 
 
-def crossings(domains: Iterable[str]) -> list[Link]:
+def inter_domain_links(domains: Iterable[str]) -> list[Link]:
     """Return the links that a path passes.
 
     Args:
         domains: Failure domains of its engines, in order.
 
-    >>> crossings(["b", "b", "a", "b"])
+    >>> inter_domain_links(["b", "b", "a", "b"])
     [('a', 'b'), ('a', 'b')]
     """
-    passed = list(domains)
-    pairs = zip(passed, passed[1:], strict=False)
-    return [link_between(one, other) for one, other in pairs if one != other]
+    hops = list(domains)
+    pairs = zip(hops, hops[1:], strict=False)
+    return [link_between(source, target) for source, target in pairs if source != target]
 
 
-def link_between(one: str, other: str) -> Link:
+def link_between(first: str, second: str) -> Link:
     """Return the link between two failure domains, whichever of them hands on."""
-    return min(one, other), max(one, other)
+    return min(first, second), max(first, second)
 
 
 def transfer_seconds(profile: EngineProfile, tokens: float) -> float:
@@ -71,7 +71,7 @@
     return tokens * profile.activation_bytes / profile.pipe_bytes_per_s
 
 
-def note_crossings(
+def record_transfer(
     load: LinkLoad, profile: EngineProfile, domains: Iterable[str], tokens: float, now: float
 ) -> list[Link]:
     """Take in a request that is sent over a path.
@@ -86,14 +86,14 @@
     Returns:
         The links that the path passes.
     """
-    _forget(load, now)
-    links = crossings(domains)
+    _decay(load, now)
+    links = inter_domain_links(domains)
     for link in links:
         load.seconds[link] = load.seconds.get(link, 0.0) + transfer_seconds(profile, tokens)
     return links
 
 
-def link_use(load: LinkLoad, boxes: int, now: float) -> Mapping[Link, float]:
+def link_utilization(load: LinkLoad, boxes: int, now: float) -> Mapping[Link, float]:
     """Estimate which share of each link all entry boxes use; links that are left out are idle.
 
     Args:
@@ -101,13 +101,13 @@
         boxes: Entry boxes that send as much.
         now: Monotonic time.
     """
-    _forget(load, now)
-    return {link: seconds * boxes / MEMORY_SECONDS for link, seconds in load.seconds.items()}
+    _decay(load, now)
+    return {link: seconds * boxes / DECAY_SECONDS for link, seconds in load.seconds.items()}
 
 
-def _forget(load: LinkLoad, now: float) -> None:
-    kept = math.exp(-max(0.0, now - load.at) / MEMORY_SECONDS)
-    load.at = now
+def _decay(load: LinkLoad, now: float) -> None:
+    decay = math.exp(-max(0.0, now - load.updated_at) / DECAY_SECONDS)
+    load.updated_at = now
     load.seconds = {
-        link: seconds * kept for link, seconds in load.seconds.items() if seconds * kept > 1e-6
+        link: seconds * decay for link, seconds in load.seconds.items() if seconds * decay > 1e-6
     }
--- a/src/ledgeladder/routing/path_costs.py
+++ b/src/ledgeladder/routing/path_costs.py
@@ -9,7 +9,7 @@
 
 from .forwarding_table import is_silent, slow_factor, total_in_flight, total_kv
 from .layer_coverage import kv_capacity
-from .link_load import FIRST_LIMIT, link_between, transfer_seconds
+from .link_load import NEW_REQUEST_LIMIT, link_between, transfer_seconds
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Mapping
@@ -24,24 +24,24 @@
 UNKNOWN_HOP_SECONDS: Final = 0.001
 """One-way delay between two failure domains for which the document gives none."""
 
-SILENT_PENALTY_SECONDS: Final = 5.0
+INACTIVE_PENALTY_SECONDS: Final = 5.0
 """Cost of an engine that nobody has heard lately: a stalled request would cost about as much."""
 
-FULL_AT: Final = 0.92
+FULL_FRACTION: Final = 0.92
 """Share of the KV cache and of the slots up to which this box fills an engine. The rest is kept
 free: answers are often longer than hinted, and the other boxes' requests are only estimated."""
 
-OVERFULL_AT: Final = 1.2
+OVERCOMMIT_FRACTION: Final = 1.2
 """The same where no path is found otherwise: the load of other boxes is an estimate, and an engine
-without room says so within milliseconds or lets the request wait for what ends next."""
+without fitting says so within milliseconds or lets the request wait for what ends next."""
 
-CROWDING: Final = 2.0
+FULLNESS_PENALTY: Final = 2.0
 """What a full engine adds to its cost, as a multiple of the cost of an empty one; it grows with the
 square of the fullness of its KV cache or its slots, whichever is fuller. Spreads requests before
 any engine is full."""
 
 
-STALLED_FACTOR: Final = 6.0
+STALLED_COST_FACTOR: Final = 6.0
 """How many times more an engine costs that has shown no progress since a loss: more than lies
 between the fastest and the slowest cards, so that another holder of its layers goes first. Engines
 are lost together, and each repeat that runs into another lost one is spent."""
@@ -62,20 +62,20 @@
     link_penalties: Mapping[Link, float] = msgspec.field(default_factory=dict)
     """Extra cost of links between failure domains that are avoided, in seconds."""
 
-    link_use: Mapping[Link, float] = msgspec.field(default_factory=dict)
+    link_utilization: Mapping[Link, float] = msgspec.field(default_factory=dict)
     """Share of each link between failure domains that is in use."""
 
-    link_limit: float = FIRST_LIMIT
+    link_limit: float = NEW_REQUEST_LIMIT
     """Share from which on a link takes no more."""
 
-    full_at: float = FULL_AT
+    full_fraction: float = FULL_FRACTION
     """Share of the KV cache at which an engine counts as full."""
 
     stalled_after: float = math.inf
     """Time without progress after which an engine with requests of this box is likely lost, in
     seconds. Named after a loss only."""
 
-    passed: Collection[str] = ()
+    previous_instances: Collection[str] = ()
     """Runs of engines on earlier paths of the request: it was on them when it stood still."""
 
     sharers: float = 1.0
@@ -97,8 +97,8 @@
     end: int
     """One past its last layer."""
 
-    most_layers: int
-    """Most layers of the range that it has room for in its KV cache; at least one."""
+    max_layers: int
+    """Most layers of the range that it has fitting for in its KV cache; at least one."""
 
     seconds_per_layer: float
     """Predicted time for each layer that it runs."""
@@ -117,7 +117,7 @@
     now: float,
     *,
     factor: float = 1.0,
-    silence_counts: bool = True,
+    penalize_inactive: bool = True,
 ) -> list[EngineOffer]:
     """Return what an engine offers for a request, one offer for each range of layers that it holds.
 
@@ -130,11 +130,11 @@
         request: What the path is for.
         now: Monotonic time.
         factor: What its predicted times are multiplied by.
-        silence_counts: True if an engine that nobody has heard lately is likely lost.
+        penalize_inactive: True if an engine that nobody has heard lately is likely lost.
 
     Returns:
-        Offers; none if its card is not known, if its KV cache has no room for one layer, or if all
-        its slots are taken.
+        Offers; none if its card is not known, if its KV cache has no fitting for one layer, or if all
+        its slots are used_kv.
     """
     card = profile.cards.get(engine.registration.card)
     if card is None:
@@ -144,31 +144,31 @@
     idle_seconds = _seconds_per_layer(profile, card, request, 1.0) * factor
     seconds = _seconds_per_layer(profile, card, request, running) * factor
     seconds *= slow_factor(engine, now)
-    is_used = engine.in_flight > 0 or engine.registration.instance in request.passed
+    is_used = engine.in_flight > 0 or engine.registration.instance in request.previous_instances
     if is_used and now - engine.proven_at > request.stalled_after:
-        seconds *= STALLED_FACTOR
+        seconds *= STALLED_COST_FACTOR
     slots = slot_limit(engine)
-    if running > slots * request.full_at:
+    if running > slots * request.full_fraction:
         return []
-    held = sum(item.end - item.first for item in engine.registration.holdings)
-    capacity = kv_capacity(profile, engine.registration.card, held)
-    taken = total_kv(engine, now, request.sharers)
-    room = _layers_with_room(profile, capacity * request.full_at - taken, tokens)
-    if room < 1:
+    layers_held = sum(item.end - item.first for item in engine.registration.holdings)
+    capacity = kv_capacity(profile, engine.registration.card, layers_held)
+    used_kv = total_kv(engine, now, request.sharers)
+    fitting = _layers_that_fit(profile, capacity * request.full_fraction - used_kv, tokens)
+    if fitting < 1:
         return []
-    fixed = SILENT_PENALTY_SECONDS if silence_counts and is_silent(engine, now) else 0.0
+    fixed = INACTIVE_PENALTY_SECONDS if penalize_inactive and is_silent(engine, now) else 0.0
     offers = []
     for holding in engine.registration.holdings:
-        used = min(holding.end - holding.first, room)
-        fullness = max((taken + tokens * used) / capacity, running / slots)
+        used = min(holding.end - holding.first, fitting)
+        fullness = max((used_kv + tokens * used) / capacity, running / slots)
         offers.append(
             EngineOffer(
                 engine=engine,
                 failure_domain=engine.registration.failure_domain,
                 first=holding.first,
                 end=min(holding.end, profile.layers),
-                most_layers=used,
-                seconds_per_layer=seconds * (1.0 + CROWDING * fullness**2),
+                max_layers=used,
+                seconds_per_layer=seconds * (1.0 + FULLNESS_PENALTY * fullness**2),
                 idle_seconds_per_layer=idle_seconds,
                 fixed_seconds=fixed,
             )
@@ -202,7 +202,7 @@
     return (step * request.answer_tokens + read) / profile.layers
 
 
-def _layers_with_room(profile: EngineProfile, free: float, tokens: float) -> int:
+def _layers_that_fit(profile: EngineProfile, free: float, tokens: float) -> int:
     """Return for how many layers of a request free KV cache is enough.
 
     Args:
@@ -215,7 +215,9 @@
     return min(profile.layers, max(0, int(free / tokens)))
 
 
-def handover(profile: EngineProfile, one: str, other: str, request: PathRequest) -> float:
+def handover_seconds(
+    profile: EngineProfile, source: str, target: str, request: PathRequest
+) -> float:
     """Return what it costs that one engine hands a request on to another, in seconds.
 
     Every token is handed on with a delay. Between failure domains, the prompt also takes time on a
@@ -225,19 +227,19 @@
     Returns:
         The cost; infinity if the link takes no more.
     """
-    delay = hop(profile, one, other) * max(1, request.answer_tokens)
-    if one == other:
+    delay = hop_seconds(profile, source, target) * max(1, request.answer_tokens)
+    if source == target:
         return delay
-    link = link_between(one, other)
-    used = request.link_use.get(link, 0.0)
+    link = link_between(source, target)
+    used = request.link_utilization.get(link, 0.0)
     if used >= request.link_limit:
         return math.inf
     transfer = transfer_seconds(profile, request.prompt_tokens + request.answer_tokens)
     return delay + transfer / (1.0 - used) ** 2 + request.link_penalties.get(link, 0.0)
 
 
-def hop(profile: EngineProfile, one: str, other: str) -> float:
+def hop_seconds(profile: EngineProfile, source: str, target: str) -> float:
     """Return the one-way delay between two failure domains, in seconds."""
-    if one == other:
+    if source == target:
         return LOCAL_HOP_SECONDS
-    return profile.delays.get((one, other), UNKNOWN_HOP_SECONDS)
+    return profile.delays.get((source, target), UNKNOWN_HOP_SECONDS)
--- a/src/ledgeladder/routing/path_search.py
+++ b/src/ledgeladder/routing/path_search.py
@@ -2,7 +2,7 @@
 
 A state is a layer that has been reached and the failure domain of the engine that reached it; a
 step is a range that one engine runs. Only the cheapest way to each state is kept, whichever engine
-it ends with, since a hop costs the same from every engine of a failure domain. This bounds the work
+it last_steps with, since a hop_seconds costs the same from every engine of a failure domain. This bounds the work
 by failure domains and by the layers at which ranges begin or end.
 """
 
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from .path_costs import handover, hop
+from .path_costs import handover_seconds, hop_seconds
 
 if TYPE_CHECKING:
     from ..model.traffic import EngineProfile
     from .path_costs import EngineOffer, PathRequest
 
-PARTS_LIMIT: Final = 32
+MAX_PATH_ENGINES: Final = 32
 """Most engines on one path."""
 
 
@@ -38,13 +38,13 @@
     end: int
     """One past the last of them."""
 
-    before: SearchStep | None
+    previous: SearchStep | None
     """The way up to `first`; None if that is layer 0."""
 
-    length: int
+    engine_count: int
     """Engines on the way."""
 
-    passed: frozenset[int]
+    engine_ids: frozenset[int]
     """Engines on the way, by `id`; an engine may be named once only."""
 
 
@@ -61,40 +61,40 @@
     Returns:
         Steps from the first layer to the last; empty if the offers do not cover all layers.
     """
-    edges = sorted({0, profile.layers}.union(*map(_edges, offers)))
+    boundaries = sorted({0, profile.layers}.union(*map(_boundaries, offers)))
     best: dict[int, dict[str, SearchStep]] = {0: {}}
-    for index, start in enumerate(edges[:-1]):
-        arrived = best.get(start)
-        if arrived is None:
+    for index, start in enumerate(boundaries[:-1]):
+        reached_by = best.get(start)
+        if reached_by is None:
             continue
         for offer in offers:
             if not offer.first <= start < offer.end:
                 continue
-            before, waited = _best_before(profile, arrived, offer, start, request)
-            if before is None and start > 0:
+            previous, cost_before = _best_predecessor(profile, reached_by, offer, start, request)
+            if previous is None and start > 0:
                 continue
-            last = bisect_right(edges, min(offer.end, start + offer.most_layers))
-            _extend(best, offer, start, edges[index + 1 : last], before, waited)
-    ends = best.get(profile.layers, {}).values()
-    return _unwind(min(ends, key=lambda step: step.cost)) if ends else []
+            last = bisect_right(boundaries, min(offer.end, start + offer.max_layers))
+            _relax(best, offer, start, boundaries[index + 1 : last], previous, cost_before)
+    last_steps = best.get(profile.layers, {}).values()
+    return _backtrack(min(last_steps, key=lambda step: step.cost)) if last_steps else []
 
 
-def _edges(offer: EngineOffer) -> tuple[int, ...]:
+def _boundaries(offer: EngineOffer) -> tuple[int, ...]:
     """Return the layers at which a path may come to an engine or leave it.
 
     Those in the middle are there for an engine whose room is less than its range: it may run the
     first layers of the range, or the last.
     """
-    return offer.first, offer.first + offer.most_layers, offer.end - offer.most_layers, offer.end
+    return offer.first, offer.first + offer.max_layers, offer.end - offer.max_layers, offer.end
 
 
-def _extend(
+def _relax(
     best: dict[int, dict[str, SearchStep]],
     offer: EngineOffer,
     start: int,
     ends: list[int],
-    before: SearchStep | None,
-    waited: float,
+    previous: SearchStep | None,
+    cost_before: float,
 ) -> None:
     """Note the steps of one engine that are cheaper than what was found up to the same layer.
 
@@ -102,26 +102,28 @@
         best: Cheapest step found so far, by the layer that it reaches and its failure domain.
         offer: What the engine offers.
         start: First layer that it would run.
-        ends: Layers up to which it could run.
-        before: The way up to `start`; None if that is layer 0.
-        waited: Predicted time of that way and of the hop to the engine, in seconds.
+        last_steps: Layers up to which it could run.
+        previous: The way up to `start`; None if that is layer 0.
+        cost_before: Predicted time of that way and of the hop_seconds to the engine, in seconds.
     """
     domain = offer.failure_domain
-    fixed = waited + offer.fixed_seconds
-    length = 1 if before is None else before.length + 1
-    passed = frozenset() if before is None else before.passed
-    passed = passed | {id(offer.engine)}
+    fixed = cost_before + offer.fixed_seconds
+    engine_count = 1 if previous is None else previous.engine_count + 1
+    engine_ids = frozenset() if previous is None else previous.engine_ids
+    engine_ids = engine_ids | {id(offer.engine)}
     for end in ends:
         cost = fixed + offer.seconds_per_layer * (end - start)
         reached = best.setdefault(end, {})
-        held = reached.get(domain)
-        if held is None or cost < held.cost:
-            reached[domain] = SearchStep(cost, offer, start, end, before, length, passed)
+        known = reached.get(domain)
+        if known is None or cost < known.cost:
+            reached[domain] = SearchStep(
+                cost, offer, start, end, previous, engine_count, engine_ids
+            )
 
 
-def _best_before(
+def _best_predecessor(
     profile: EngineProfile,
-    arrived: dict[str, SearchStep],
+    reached_by: dict[str, SearchStep],
     offer: EngineOffer,
     start: int,
     request: PathRequest,
@@ -129,29 +131,29 @@
     """Choose the way to a layer after which an engine goes on.
 
     Returns:
-        The way, and its predicted time with the hop to the engine, in seconds. At layer 0 there is
-        no way, and the time is that of the hop; elsewhere, None and infinity if no way may go on
+        The way, and its predicted time with the hop_seconds to the engine, in seconds. At layer 0 there is
+        no way, and the time is that of the hop_seconds; elsewhere, None and infinity if no way may go on
         with the engine.
     """
     domain = offer.failure_domain
     if start == 0:
-        return None, hop(profile, request.failure_domain, domain)
-    best, waited = None, float("inf")
-    for other, step in arrived.items():
-        if step.length >= PARTS_LIMIT or id(offer.engine) in step.passed:
+        return None, hop_seconds(profile, request.failure_domain, domain)
+    best, cost_before = None, float("inf")
+    for other, step in reached_by.items():
+        if step.engine_count >= MAX_PATH_ENGINES or id(offer.engine) in step.engine_ids:
             continue
-        cost = step.cost + handover(profile, other, domain, request)
-        if cost < waited:
-            best, waited = step, cost
-    return best, waited
+        cost = step.cost + handover_seconds(profile, other, domain, request)
+        if cost < cost_before:
+            best, cost_before = step, cost
+    return best, cost_before
 
 
-def _unwind(last: SearchStep) -> list[SearchStep]:
+def _backtrack(last: SearchStep) -> list[SearchStep]:
     """Return a way's steps from the first layer to the last."""
     steps: list[SearchStep] = []
     step: SearchStep | None = last
     while step is not None:
         steps.append(step)
-        step = step.before
+        step = step.previous
     steps.reverse()
     return steps
--- a/src/ledgeladder/routing/paths.py
+++ b/src/ledgeladder/routing/paths.py
@@ -2,7 +2,7 @@
 
 Costs are predicted times (`path_costs`), so that fast cards go first and full engines are left out.
 A path that stays in one failure domain, the own one or another, goes before one that crosses
-between them: activations of all crossing requests share a few links, and once those are full every
+between them: activations of all multi_domain requests share a few links, and once those are full every
 request that crosses stands still. `path_search` finds the cheapest path; this module says which
 engines may be used and in which failure domains to look, and counts what the requests of this box
 take on the engines.
@@ -18,7 +18,7 @@
 
 from ..model.exchange import PathPart
 from .forwarding_table import is_resting, is_silent, is_usable, wait_left
-from .path_costs import SILENT_PENALTY_SECONDS, engine_offers
+from .path_costs import INACTIVE_PENALTY_SECONDS, engine_offers
 from .path_search import cheapest_steps
 from .rate_grants import has_grant
 
@@ -32,22 +32,22 @@
     from .path_costs import EngineOffer, PathRequest
     from .path_search import SearchStep
 
-SPREAD: Final = 0.3
+COST_JITTER: Final = 0.3
 """Random part of the cost of an engine, so that boxes that know the same do not choose the same.
 Below the step between two kinds of cards (2.3 and 2.9): an idle fast card is still chosen."""
 
-FAR_FACTOR: Final = 1.25
+REMOTE_CONGESTION_RATIO: Final = 1.25
 """How many times less crowded a path in another failure domain must be: a cut would end it. The own
-one is kept until its KV caches are a third full where others are empty (`path_costs.CROWDING`)."""
+one is kept until its KV caches are a third full where others are empty (`path_costs.FULLNESS_PENALTY`)."""
 
 
-FULL: Final = "full"
+NO_CAPACITY: Final = "full"
 """Why an engine cannot be used that has no room for one layer of a request."""
 
-RESTING: Final = "resting"
+BACKING_OFF: Final = "resting"
 """Why an engine cannot be used that asked this box for rest."""
 
-LIMITED: Final = "limited"
+RATE_LIMITED: Final = "limited"
 """Why an engine cannot be used that takes a number of requests a second, of which none is left to
 this box."""
 
@@ -64,7 +64,7 @@
     cost: float
     """Predicted time, in seconds."""
 
-    crowding: float = 1.0
+    congestion: float = 1.0
     """How many times longer that is than with idle engines at their usual speed."""
 
     @property
@@ -102,13 +102,13 @@
     """
     usable = [
         engine
-        for engine in _newest_runs(engines)
+        for engine in _newest_instances(engines)
         if engine.registration.holdings
         and engine.registration.instance not in excluded
         and is_usable(engine, now)
     ]
     # If all of them are silent, this box is cut off from the control boxes that hear them.
-    silence_counts = not all(is_silent(item, now) for item in usable)
+    penalize_inactive = not all(is_silent(item, now) for item in usable)
     members: dict[str, list[ForwardedUpstream]] = {}
     for item in usable:
         members.setdefault(item.registration.failure_domain, []).append(item)
@@ -120,22 +120,27 @@
                 offer
                 for item in members.get(domain, ())
                 for offer in engine_offers(
-                    profile, item, request, now, factor=_spread(rng), silence_counts=silence_counts
+                    profile,
+                    item,
+                    request,
+                    now,
+                    factor=_random_factor(rng),
+                    penalize_inactive=penalize_inactive,
                 )
             ]
         return offers[domain]
 
-    whole = _cheapest_in_one_domain(profile, members, offers_in, request)
-    if whole is not None and whole.cost < SILENT_PENALTY_SECONDS:
-        return whole
-    everywhere = [offer for domain in members for offer in offers_in(domain)]
-    crossing = _search(profile, everywhere, request)
-    if whole is None or crossing is None:
-        return whole or crossing
-    return min(whole, crossing, key=lambda path: path.cost)
+    single_domain = _cheapest_single_domain_path(profile, members, offers_in, request)
+    if single_domain is not None and single_domain.cost < INACTIVE_PENALTY_SECONDS:
+        return single_domain
+    all_offers = [offer for domain in members for offer in offers_in(domain)]
+    multi_domain = _search(profile, all_offers, request)
+    if single_domain is None or multi_domain is None:
+        return single_domain or multi_domain
+    return min(single_domain, multi_domain, key=lambda path: path.cost)
 
 
-def _cheapest_in_one_domain(
+def _cheapest_single_domain_path(
     profile: EngineProfile,
     domains: Iterable[str],
     offers_in: Callable[[str], list[EngineOffer]],
@@ -145,7 +150,7 @@
 
     Failure domains are compared by how crowded they are and not by their speed: all of them are
     quick enough for callers while they have room, and the fastest would fill up alone. The own one
-    is taken without a look at the others while none could be less crowded by `FAR_FACTOR`, which
+    is taken without a look at the others while none could be less crowded by `REMOTE_CONGESTION_RATIO`, which
     leaves a choice among the engines of one failure domain for most requests.
 
     Args:
@@ -158,21 +163,21 @@
         The path, or None if no failure domain covers all layers by itself.
     """
     own = _search(profile, offers_in(request.failure_domain), request)
-    if own is not None and own.crowding <= FAR_FACTOR:
+    if own is not None and own.congestion <= REMOTE_CONGESTION_RATIO:
         return own
     others = [
         _search(profile, offers_in(domain), request)
         for domain in domains
         if domain != request.failure_domain
     ]
-    far = min((path for path in others if path), key=lambda path: path.crowding, default=None)
-    if own is None or far is None:
-        return own or far
-    return far if far.crowding * FAR_FACTOR < own.crowding else own
+    remote = min((path for path in others if path), key=lambda path: path.congestion, default=None)
+    if own is None or remote is None:
+        return own or remote
+    return remote if remote.congestion * REMOTE_CONGESTION_RATIO < own.congestion else own
 
 
-def _spread(rng: random.Random | None) -> float:
-    return 1.0 if rng is None else 1.0 + SPREAD * rng.random()
+def _random_factor(rng: random.Random | None) -> float:
+    return 1.0 if rng is None else 1.0 + COST_JITTER * rng.random()
 
 
 def _search(
@@ -194,18 +199,18 @@
         ),
         engines=tuple(item.offer.engine for item in steps),
         cost=cost,
-        crowding=cost / (cost - sum(map(_excess, steps))),
+        congestion=cost / (cost - sum(map(_excess_seconds, steps))),
     )
 
 
-def _excess(step: SearchStep) -> float:
+def _excess_seconds(step: SearchStep) -> float:
     """Return how much longer a step takes than on an idle engine, in seconds."""
     offer = step.offer
     per_layer = offer.seconds_per_layer - offer.idle_seconds_per_layer
     return per_layer * (step.end - step.first) + offer.fixed_seconds
 
 
-def _newest_runs(engines: Iterable[ForwardedUpstream]) -> Iterable[ForwardedUpstream]:
+def _newest_instances(engines: Iterable[ForwardedUpstream]) -> Iterable[ForwardedUpstream]:
     """Return one run for each address, the one that began last.
 
     An engine that crashed and was started again stays registered under its old id for some seconds,
@@ -213,13 +218,13 @@
     """
     newest: dict[str, ForwardedUpstream] = {}
     for engine in engines:
-        held = newest.get(engine.registration.address)
-        if held is None or engine.began_at > held.began_at:
+        known = newest.get(engine.registration.address)
+        if known is None or engine.began_at > known.began_at:
             newest[engine.registration.address] = engine
     return newest.values()
 
 
-class MissingPath(msgspec.Struct, frozen=True, kw_only=True):
+class NoPathReason(msgspec.Struct, frozen=True, kw_only=True):
     """Why there is no path."""
 
     engines: Mapping[str, int]
@@ -237,14 +242,14 @@
     None if a layer lacks one for another reason."""
 
     @property
-    def for_limits(self) -> bool:
+    def is_rate_limited(self) -> bool:
         """True if engines are left out since they take no more requests in this second."""
-        return self.engines.get(LIMITED, 0) > 0
+        return self.engines.get(RATE_LIMITED, 0) > 0
 
     @property
-    def for_want_of_room(self) -> bool:
+    def is_out_of_capacity(self) -> bool:
         """True if engines or links are full, so that there is a path once requests on them end."""
-        return self.engines.get(FULL, 0) > 0 or bool(self.full_links)
+        return self.engines.get(NO_CAPACITY, 0) > 0 or bool(self.full_links)
 
     def __str__(self) -> str:
         counts = ", ".join(f"{count} {reason}" for reason, count in sorted(self.engines.items()))
@@ -260,7 +265,7 @@
     now: float,
     *,
     excluded: Collection[str] = (),
-) -> MissingPath:
+) -> NoPathReason:
     """Say why there is no path, for logs, answers, and the time to come back.
 
     Args:
@@ -271,25 +276,29 @@
         excluded: Runs of engines that this request does not use any more.
     """
     reasons: Counter[str] = Counter()
-    taken_from = [math.inf] * profile.layers
-    for engine in _newest_runs(engines):
-        reason = _why_unusable(profile, engine, request, now, excluded)
+    available_in = [math.inf] * profile.layers
+    for engine in _newest_instances(engines):
+        reason = _unusable_reason(profile, engine, request, now, excluded)
         reasons[reason or "usable"] += 1
-        if reason not in ("", RESTING, LIMITED):
+        if reason not in ("", BACKING_OFF, RATE_LIMITED):
             continue
-        waits = wait_left(engine, now)
+        wait = wait_left(engine, now)
         for item in engine.registration.holdings:
             for layer in range(item.first, min(item.end, profile.layers)):
-                taken_from[layer] = min(taken_from[layer], waits)
-    closed = [layer for layer, seconds in enumerate(taken_from) if seconds > 0]
-    full = tuple(link for link, used in request.link_use.items() if used >= request.link_limit)
-    layers = (closed[0], closed[-1] + 1) if closed else None
-    longest = max(taken_from)
-    wait_seconds = longest if 0 < longest < math.inf else None
-    return MissingPath(engines=reasons, layers=layers, full_links=full, wait_seconds=wait_seconds)
+                available_in[layer] = min(available_in[layer], wait)
+    uncovered = [layer for layer, seconds in enumerate(available_in) if seconds > 0]
+    full_links = tuple(
+        link for link, used in request.link_utilization.items() if used >= request.link_limit
+    )
+    layers = (uncovered[0], uncovered[-1] + 1) if uncovered else None
+    longest_wait = max(available_in)
+    wait_seconds = longest_wait if 0 < longest_wait < math.inf else None
+    return NoPathReason(
+        engines=reasons, layers=layers, full_links=full_links, wait_seconds=wait_seconds
+    )
 
 
-def _why_unusable(
+def _unusable_reason(
     profile: EngineProfile,
     engine: ForwardedUpstream,
     request: PathRequest,
@@ -302,14 +311,14 @@
     if engine.leaving:
         return "leaving"
     if is_resting(engine, now):
-        return RESTING
+        return BACKING_OFF
     if not has_grant(engine.limit, now):
-        return LIMITED
+        return RATE_LIMITED
     if registration.instance in excluded:
         return "failed this request"
     if not is_usable(engine, now):
         return "lost" if engine.lost_at > engine.heard_at else "avoided"
-    return "" if engine_offers(profile, engine, request, now) else FULL
+    return "" if engine_offers(profile, engine, request, now) else NO_CAPACITY
 
 
 def reserve(path: ChosenPath, tokens: int) -> None:
--- a/src/ledgeladder/routing/placement.py
+++ b/src/ledgeladder/routing/placement.py
@@ -18,7 +18,7 @@
     requests_per_second,
 )
 from .layer_coverage import LayerCoverage, slowness
-from .link_load import FIRST_LIMIT, transfer_seconds
+from .link_load import NEW_REQUEST_LIMIT, transfer_seconds
 from .placed_engine import PlacedEngine
 
 if TYPE_CHECKING:
@@ -126,7 +126,7 @@
     """
     seconds = transfer_seconds(profile, profile.usual_prompt)
     links = domains * (domains - 1) / 2
-    return FIRST_LIMIT * links / (CROSSINGS_EXPECTED * seconds) if seconds > 0 else 0.0
+    return NEW_REQUEST_LIMIT * links / (CROSSINGS_EXPECTED * seconds) if seconds > 0 else 0.0
 
 
 def _plan_members(
--- a/src/ledgeladder/routing/link_doubts.py
+++ b/src/ledgeladder/routing/suspected_links.py
@@ -10,49 +10,49 @@
 
 import msgspec
 
-from .link_load import crossings
+from .link_load import inter_domain_links
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from .link_load import Link
 
-DOUBT_SECONDS: Final = 3.0
+LINK_SUSPECT_SECONDS: Final = 3.0
 """How long a link is avoided after a request stood still on it; then it is tried again. A link that
 is slow for some seconds costs a few requests that way and not all."""
 
-PENALTY_SECONDS: Final = 1.0
+LINK_PENALTY_SECONDS: Final = 1.0
 """Cost of passing such a link: as long as requests stand still there before they are moved."""
 
 
-class LinkDoubts(msgspec.Struct, kw_only=True):
+class SuspectedLinks(msgspec.Struct, kw_only=True):
     """Links that are avoided."""
 
     until: dict[Link, float] = msgspec.field(default_factory=dict)
     """Until when each is avoided, on the monotonic clock."""
 
 
-def doubt_links(doubts: LinkDoubts, domains: Iterable[str], now: float) -> list[Link]:
+def suspect_links(suspected: SuspectedLinks, domains: Iterable[str], now: float) -> list[Link]:
     """Note that a request stood still on a path.
 
     Args:
-        doubts: The links that are avoided.
+        suspected: The links that are avoided.
         domains: Failure domains of its engines, in order.
         now: Monotonic time.
 
     Returns:
         The links that the path passes, all of which are doubted, since nothing tells which it was.
 
-    >>> doubt_links(LinkDoubts(), ["a", "a", "b"], 1.0)
+    >>> suspect_links(SuspectedLinks(), ["a", "a", "b"], 1.0)
     [('a', 'b')]
     """
-    links = crossings(domains)
-    doubts.until |= dict.fromkeys(links, now + DOUBT_SECONDS)
+    links = inter_domain_links(domains)
+    suspected.until |= dict.fromkeys(links, now + LINK_SUSPECT_SECONDS)
     return links
 
 
-def link_penalties(doubts: LinkDoubts, now: float) -> dict[Link, float]:
+def link_penalties(suspected: SuspectedLinks, now: float) -> dict[Link, float]:
     """Return the extra cost of the links that are avoided now, in seconds; forgets the others."""
-    for link in [item for item, until in doubts.until.items() if until <= now]:
-        del doubts.until[link]
-    return dict.fromkeys(doubts.until, PENALTY_SECONDS)
+    for link in [item for item, until in suspected.until.items() if until <= now]:
+        del suspected.until[link]
+    return dict.fromkeys(suspected.until, LINK_PENALTY_SECONDS)
--- a/tests/daemons/gateway/test_retry_after.py
+++ b/tests/daemons/gateway/test_retry_after.py
@@ -14,7 +14,7 @@
 )
 from ledgeladder.model.registration import Holding
 from ledgeladder.routing.pace import Pace
-from ledgeladder.routing.paths import MissingPath
+from ledgeladder.routing.paths import NoPathReason
 
 from ...routing.sample_site import PROFILE
 
@@ -29,8 +29,8 @@
 
 
 PERMIT: Any = SimpleNamespace(pool=SimpleNamespace(name="p", engine=PROFILE))
-FULL = MissingPath(engines={"full": 2, "lost": 1}, layers=(0, 8), full_links=())
-LOST = MissingPath(engines={"lost": 2, "usable": 1}, layers=(0, 8), full_links=())
+FULL = NoPathReason(engines={"full": 2, "lost": 1}, layers=(0, 8), full_links=())
+LOST = NoPathReason(engines={"lost": 2, "usable": 1}, layers=(0, 8), full_links=())
 
 
 def test_full_engines_have_capacity_after_half_a_stream_duration() -> None:
--- a/tests/routing/test_link_load.py
+++ b/tests/routing/test_link_load.py
@@ -8,12 +8,12 @@
 from ledgeladder.model.registration import Holding, Registration
 from ledgeladder.routing.forwarding_table import ForwardedUpstream
 from ledgeladder.routing.link_load import (
-    FIRST_LIMIT,
-    MEMORY_SECONDS,
-    RESUME_LIMIT,
+    DECAY_SECONDS,
+    NEW_REQUEST_LIMIT,
+    RESUMED_STREAM_LIMIT,
     LinkLoad,
-    link_use,
-    note_crossings,
+    link_utilization,
+    record_transfer,
 )
 from ledgeladder.routing.path_costs import PathRequest
 from ledgeladder.routing.paths import choose_path, explain_no_path
@@ -27,7 +27,7 @@
 """A prompt of 774 tokens takes 0.05 s on a link."""
 
 
-def half(domain: str, first: int) -> ForwardedUpstream:
+def make_engine(domain: str, first: int) -> ForwardedUpstream:
     registration = Registration(
         instance=f"{domain}{first}",
         sequence=1,
@@ -40,56 +40,56 @@
     return ForwardedUpstream(registration=registration, heard_at=0.0)
 
 
-POOL = [half("a", 0), half("b", 40), half("c", 40)]
+POOL = [make_engine("a", 0), make_engine("b", 40), make_engine("c", 40)]
 
 
-def wanted(load: LinkLoad, boxes: int, limit: float = FIRST_LIMIT) -> PathRequest:
+def make_request(load: LinkLoad, boxes: int, limit: float = NEW_REQUEST_LIMIT) -> PathRequest:
     return PathRequest(
         prompt_tokens=774,
         answer_tokens=200,
         failure_domain="a",
-        link_use=link_use(load, boxes, 1.0),
+        link_utilization=link_utilization(load, boxes, 1.0),
         link_limit=limit,
     )
 
 
-def test_what_all_boxes_send_counts_and_is_forgotten() -> None:
+def test_utilization_counts_all_boxes_and_decays() -> None:
     load = LinkLoad()
-    note_crossings(load, CROWDED, ["a", "a", "b", "a"], 774, 1.0)
-    assert link_use(load, 4, 1.0) == {("a", "b"): pytest.approx(4 * 2 * TRANSFER_SECONDS)}
-    later = link_use(load, 4, 1.0 + MEMORY_SECONDS)
+    record_transfer(load, CROWDED, ["a", "a", "b", "a"], 774, 1.0)
+    assert link_utilization(load, 4, 1.0) == {("a", "b"): pytest.approx(4 * 2 * TRANSFER_SECONDS)}
+    later = link_utilization(load, 4, 1.0 + DECAY_SECONDS)
     assert later["a", "b"] == pytest.approx(4 * 2 * TRANSFER_SECONDS / 2.718, rel=0.01)
-    assert link_use(load, 4, 100.0) == {}
+    assert link_utilization(load, 4, 100.0) == {}
 
 
-def test_fuller_link_is_passed_by_and_full_ones_refuse_at_once() -> None:
+def test_less_used_link_is_preferred_and_full_links_refuse() -> None:
     load = LinkLoad()
     chosen = []
-    while (path := choose_path(CROWDED, POOL, wanted(load, 4), 1.0)) is not None:
+    while (path := choose_path(CROWDED, POOL, make_request(load, 4), 1.0)) is not None:
         domains = [engine.registration.failure_domain for engine in path.engines]
         chosen.append(domains[1])
-        note_crossings(load, CROWDED, domains, 774, 1.0)
+        record_transfer(load, CROWDED, domains, 774, 1.0)
         assert len(chosen) < 100
     # Four boxes send 0.2 s of every second a request each: four of these fill a link.
     assert sorted(chosen) == ["b"] * 4 + ["c"] * 4
     assert chosen[:2] in (["b", "c"], ["c", "b"])
-    why = explain_no_path(CROWDED, POOL, wanted(load, 4), 1.0)
+    why = explain_no_path(CROWDED, POOL, make_request(load, 4), 1.0)
     assert "full links a-b, a-c" in str(why)
-    assert why.for_want_of_room
+    assert why.is_out_of_capacity
 
 
-def test_streams_that_have_begun_take_the_rest() -> None:
+def test_resumed_streams_may_use_reserved_capacity() -> None:
     load = LinkLoad()
     for _ in range(4):
-        note_crossings(load, CROWDED, ["a", "b"], 774, 1.0)
-        note_crossings(load, CROWDED, ["a", "c"], 774, 1.0)
-    assert choose_path(CROWDED, POOL, wanted(load, 4), 1.0) is None
-    assert choose_path(CROWDED, POOL, wanted(load, 4, RESUME_LIMIT), 1.0) is not None
+        record_transfer(load, CROWDED, ["a", "b"], 774, 1.0)
+        record_transfer(load, CROWDED, ["a", "c"], 774, 1.0)
+    assert choose_path(CROWDED, POOL, make_request(load, 4), 1.0) is None
+    assert choose_path(CROWDED, POOL, make_request(load, 4, RESUMED_STREAM_LIMIT), 1.0) is not None
 
 
-def test_links_of_unknown_width_take_everything() -> None:
+def test_links_of_unknown_bandwidth_are_unlimited() -> None:
     unknown = msgspec.structs.replace(CROWDED, pipe_bytes_per_s=0.0)
     load = LinkLoad()
     for _ in range(1000):
-        note_crossings(load, unknown, ["a", "b"], 774, 1.0)
-    assert choose_path(unknown, POOL, wanted(load, 400), 1.0) is not None
+        record_transfer(load, unknown, ["a", "b"], 774, 1.0)
+    assert choose_path(unknown, POOL, make_request(load, 400), 1.0) is not None
--- a/tests/routing/test_paths.py
+++ b/tests/routing/test_paths.py
@@ -23,13 +23,7 @@
     total_kv,
 )
 from ledgeladder.routing.layer_coverage import kv_capacity
-from ledgeladder.routing.link_doubts import (
-    DOUBT_SECONDS,
-    LinkDoubts,
-    doubt_links,
-    link_penalties,
-)
-from ledgeladder.routing.path_costs import OVERFULL_AT, PathRequest
+from ledgeladder.routing.path_costs import OVERCOMMIT_FRACTION, PathRequest
 from ledgeladder.routing.paths import (
     ChosenPath,
     choose_path,
@@ -37,12 +31,18 @@
     release,
     reserve,
 )
+from ledgeladder.routing.suspected_links import (
+    LINK_SUSPECT_SECONDS,
+    SuspectedLinks,
+    link_penalties,
+    suspect_links,
+)
 from ledgeladder.routing.upstream_wishes import ask_rest
 
 from .sample_site import CARDS, DOMAINS, PROFILE, settled_fleet
 
 
-def engines(now: float = 0.0) -> list[ForwardedUpstream]:
+def make_engines(now: float = 0.0) -> list[ForwardedUpstream]:
     """Return the engines of the site with the layers of the first plan, last heard at a time."""
     made = []
     for item in settled_fleet():
@@ -60,18 +60,18 @@
     return made
 
 
-def wanted(domain: str = "a") -> PathRequest:
+def make_request(domain: str = "a") -> PathRequest:
     return PathRequest(prompt_tokens=774, answer_tokens=200, failure_domain=domain)
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_every_layer_once_and_in_order_whatever_is_lost(seed: int) -> None:
+def test_path_runs_every_layer_once_and_in_order_after_losses(seed: int) -> None:
     rng = random.Random(seed)
-    pool = engines()
+    pool = make_engines()
     lost = rng.sample(pool, rng.randrange(0, 20))
     for engine in lost:
         note_failed(engine, 0.0)
-    path = choose_path(PROFILE, pool, wanted(rng.choice("abc")), 0.1)
+    path = choose_path(PROFILE, pool, make_request(rng.choice("abc")), 0.1)
     usable = [engine for engine in pool if engine not in lost]
     covered = {
         layer
@@ -94,16 +94,16 @@
 
 
 @pytest.mark.parametrize("domain", sorted(DOMAINS))
-def test_idle_system_stays_in_the_own_failure_domain(domain: str) -> None:
-    path = choose_path(PROFILE, engines(), wanted(domain), 0.0)
+def test_idle_path_stays_in_own_failure_domain(domain: str) -> None:
+    path = choose_path(PROFILE, make_engines(), make_request(domain), 0.0)
     assert path is not None
     assert {engine.registration.failure_domain for engine in path.engines} == {domain}
 
 
-def test_full_engines_are_left_out_before_they_refuse() -> None:
-    pool = engines()
+def test_full_engines_are_excluded_before_they_refuse() -> None:
+    pool = make_engines()
     paths = []
-    while (path := choose_path(PROFILE, pool, wanted(), 0.0)) is not None:
+    while (path := choose_path(PROFILE, pool, make_request(), 0.0)) is not None:
         reserve(path, 974)
         paths.append(path)
         assert len(paths) < 1000
@@ -114,51 +114,51 @@
     assert all(abs(engine.kv_reserved) < 1e-6 for engine in pool)
 
 
-def test_leaving_engine_is_not_used() -> None:
+def test_draining_engine_is_not_used() -> None:
     table = ForwardingTable()
-    pool = [put_registration(table, item.registration, 0.0) for item in engines()]
+    pool = [put_registration(table, item.registration, 0.0) for item in make_engines()]
     known = [engine for engine in pool if engine is not None]
-    path = choose_path(PROFILE, known, wanted(), 0.0)
+    path = choose_path(PROFILE, known, make_request(), 0.0)
     assert path is not None
     first = path.head
     # Nothing else of it changes, so that nothing else keeps it out.
     left = msgspec.structs.replace(first.registration, sequence=2, state=UpstreamState.LEAVING)
     assert put_registration(table, left, 0.0) is first
-    other = choose_path(PROFILE, known, wanted(), 0.0)
+    other = choose_path(PROFILE, known, make_request(), 0.0)
     assert other is not None
     assert first not in other.engines
 
 
 def test_excluded_engines_are_not_used() -> None:
-    pool = engines()
+    pool = make_engines()
     excluded: set[str] = set()
     for _ in range(3):
-        path = choose_path(PROFILE, pool, wanted(), 0.0, excluded=excluded)
+        path = choose_path(PROFILE, pool, make_request(), 0.0, excluded=excluded)
         assert path is not None
         instances = {part.instance for part in path.parts}
         assert not excluded & instances
         excluded |= instances
 
 
-def test_engine_that_was_full_is_tried_again_soon() -> None:
-    pool = engines()
+def test_full_engine_is_retried_after_short_time() -> None:
+    pool = make_engines()
     for engine in pool:
         note_full(engine, 0.0)
-    assert choose_path(PROFILE, pool, wanted(), 0.1) is None
-    assert choose_path(PROFILE, pool, wanted(), 0.3) is not None
+    assert choose_path(PROFILE, pool, make_request(), 0.1) is None
+    assert choose_path(PROFILE, pool, make_request(), 0.3) is not None
 
 
-def test_faster_cards_go_first() -> None:
-    path = choose_path(PROFILE, engines(), wanted("b"), 0.0)
+def test_faster_cards_are_preferred() -> None:
+    path = choose_path(PROFILE, make_engines(), make_request("b"), 0.0)
     assert path is not None
     slow = [engine for engine in path.engines if engine.registration.card == "slow"]
     assert len(slow) < len(path.engines) / 2
     assert set(CARDS) >= {engine.registration.card for engine in path.engines}
 
 
-def test_two_runs_at_one_address_are_not_on_one_path() -> None:
+def test_two_instances_at_one_address_are_not_on_one_path() -> None:
     """A path that names an address twice is answered with 400."""
-    pool = engines()
+    pool = make_engines()
     old = pool[0]
     restarted = ForwardedUpstream(
         registration=msgspec.structs.replace(old.registration, instance="restarted"),
@@ -167,7 +167,7 @@
     )
     # The run before is heard once more: a heartbeat was held up.
     old.heard_at = 5.05
-    path = choose_path(PROFILE, [*pool, restarted], wanted(), 5.1)
+    path = choose_path(PROFILE, [*pool, restarted], make_request(), 5.1)
     assert path is not None
     addresses = [part.address for part in path.parts]
     assert len(set(addresses)) == len(addresses)
@@ -175,36 +175,38 @@
 
 
 def test_missing_path_is_explained() -> None:
-    pool = engines()
+    pool = make_engines()
     for engine in pool:
         if engine.registration.holdings[0].first == 0:
             note_lost(engine, 1.0)
     note_full(pool[-1], 1.0)
-    why = explain_no_path(PROFILE, pool, wanted(), 2.5, excluded={pool[-2].registration.instance})
+    why = explain_no_path(
+        PROFILE, pool, make_request(), 2.5, excluded={pool[-2].registration.instance}
+    )
     text = str(why)
     assert "lost" in text
     assert "1 failed this request" in text
     assert "; layers 0-" in text
-    assert not why.for_want_of_room
-    none = str(explain_no_path(PROFILE, [], wanted(), 2.5))
+    assert not why.is_out_of_capacity
+    none = str(explain_no_path(PROFILE, [], make_request(), 2.5))
     assert none.startswith("engines: none; layers 0-")
 
 
-def test_boxes_that_know_the_same_do_not_all_choose_the_same() -> None:
+def test_boxes_with_the_same_view_choose_different_paths() -> None:
     """When a fast engine is lost, every box moves its requests in the same moment."""
-    pool = engines()
+    pool = make_engines()
     lost = next(item for item in pool if item.registration.instance == "b-fast-0")
     note_lost(lost, 1.0)
     rng = random.Random(7)
-    chosen = [choose_path(PROFILE, pool, wanted("b"), 2.5, rng=rng) for _ in range(40)]
+    chosen = [choose_path(PROFILE, pool, make_request("b"), 2.5, rng=rng) for _ in range(40)]
     passed = Counter(part.instance for path in chosen if path for part in path.parts)
-    alone = choose_path(PROFILE, pool, wanted("b"), 2.5)
+    alone = choose_path(PROFILE, pool, make_request("b"), 2.5)
     assert alone is not None
     assert len(passed) > len(alone.parts)
 
 
-def test_own_growth_since_the_last_report_stands_for_that_of_other_boxes() -> None:
-    engine = engines()[0]
+def test_other_boxes_are_assumed_to_grow_like_this_one_since_last_report() -> None:
+    engine = make_engines()[0]
     take_others(engine, 10, 1000.0, 5.0)
     assert total_kv(engine, 5.1, 8.0) == 1000.0
     engine.in_flight, engine.kv_reserved = 2, 200.0
@@ -216,8 +218,8 @@
     assert total_kv(engine, 5.1, 8.0) == 1100.0
 
 
-def half(domain: str, holding: Holding) -> ForwardedUpstream:
-    """Return an engine that holds half of the layers."""
+def make_engine(domain: str, holding: Holding) -> ForwardedUpstream:
+    """Return an engine that holds make_engine of the layers."""
     registration = Registration(
         instance=domain,
         sequence=1,
@@ -230,138 +232,142 @@
     return ForwardedUpstream(registration=registration, heard_at=0.0)
 
 
-def crossings(path: ChosenPath) -> list[tuple[str, str]]:
+def inter_domain_hops(path: ChosenPath) -> list[tuple[str, str]]:
     """Return the failure domains between which a path crosses."""
     domains = [engine.registration.failure_domain for engine in path.engines]
     return [pair for pair in zip(domains, domains[1:], strict=False) if pair[0] != pair[1]]
 
 
-def test_link_on_which_requests_stand_still_is_avoided() -> None:
+def test_link_with_stalled_requests_is_avoided() -> None:
     pool = [
-        half("a", Holding(first=0, end=40)),
-        half("b", Holding(first=40, end=80)),
-        half("c", Holding(first=40, end=80)),
+        make_engine("a", Holding(first=0, end=40)),
+        make_engine("b", Holding(first=40, end=80)),
+        make_engine("c", Holding(first=40, end=80)),
     ]
-    path = choose_path(PROFILE, pool, wanted("a"), 2.5)
+    path = choose_path(PROFILE, pool, make_request("a"), 2.5)
     assert path is not None
-    used = crossings(path)
+    used = inter_domain_hops(path)
     assert used
-    doubts = LinkDoubts()
-    doubt_links(doubts, [used[0][0], used[0][1]], 2.5)
-    penalties = link_penalties(doubts, 2.6)
-    request = msgspec.structs.replace(wanted("a"), link_penalties=penalties)
+    suspected = SuspectedLinks()
+    suspect_links(suspected, [used[0][0], used[0][1]], 2.5)
+    penalties = link_penalties(suspected, 2.6)
+    request = msgspec.structs.replace(make_request("a"), link_penalties=penalties)
     other = choose_path(PROFILE, pool, request, 2.6)
     assert other is not None
-    assert used[0] not in crossings(other)
-    assert used[0][::-1] not in crossings(other)
-    assert link_penalties(doubts, 2.5 + DOUBT_SECONDS) == {}
+    assert used[0] not in inter_domain_hops(other)
+    assert used[0][::-1] not in inter_domain_hops(other)
+    assert link_penalties(suspected, 2.5 + LINK_SUSPECT_SECONDS) == {}
 
 
-def test_path_stays_in_one_failure_domain_although_crossing_is_faster() -> None:
+def test_path_stays_in_one_failure_domain_even_if_another_is_faster() -> None:
     """Activations of all requests that cross share the links between failure domains."""
-    slow = half("a", Holding(first=40, end=80))
+    slow = make_engine("a", Holding(first=40, end=80))
     slow.registration = msgspec.structs.replace(
         slow.registration, instance="slow", address="slow:1", card="slow"
     )
-    pool = [half("a", Holding(first=0, end=40)), half("b", Holding(first=40, end=80)), slow]
+    pool = [
+        make_engine("a", Holding(first=0, end=40)),
+        make_engine("b", Holding(first=40, end=80)),
+        slow,
+    ]
     small = msgspec.structs.replace(PROFILE, layer_mb=250.0)
-    path = choose_path(small, pool, wanted("a"), 2.5)
+    path = choose_path(small, pool, make_request("a"), 2.5)
     assert path is not None
-    assert crossings(path) == []
+    assert inter_domain_hops(path) == []
     # Nor does a box whose own failure domain holds only a part of the model.
-    path = choose_path(small, pool, wanted("b"), 2.5)
+    path = choose_path(small, pool, make_request("b"), 2.5)
     assert path is not None
-    assert crossings(path) == []
+    assert inter_domain_hops(path) == []
     # Where no failure domain holds all layers, a path crosses.
-    path = choose_path(small, pool, wanted("a"), 2.5, excluded={"slow"})
+    path = choose_path(small, pool, make_request("a"), 2.5, excluded={"slow"})
     assert path is not None
-    assert crossings(path) == [("a", "b")]
+    assert inter_domain_hops(path) == [("a", "b")]
 
 
-def test_crowded_failure_domain_sends_its_requests_to_another() -> None:
-    pool = [half("a", Holding(first=0, end=80)), half("b", Holding(first=0, end=80))]
+def test_congested_failure_domain_uses_another() -> None:
+    pool = [make_engine("a", Holding(first=0, end=80)), make_engine("b", Holding(first=0, end=80))]
     small = msgspec.structs.replace(PROFILE, layer_mb=250.0)
     pool[0].kv_reserved = 0.3 * kv_capacity(small, "fast", 80)
-    path = choose_path(small, pool, wanted("a"), 2.5)
+    path = choose_path(small, pool, make_request("a"), 2.5)
     assert path is not None
     assert path.head is pool[0]
     pool[0].kv_reserved = 0.7 * kv_capacity(small, "fast", 80)
-    path = choose_path(small, pool, wanted("a"), 2.5)
+    path = choose_path(small, pool, make_request("a"), 2.5)
     assert path is not None
     assert path.head is pool[1]
     # Not if the other one is as crowded.
     pool[1].kv_reserved = 0.7 * kv_capacity(small, "fast", 80)
-    path = choose_path(small, pool, wanted("a"), 2.5)
+    path = choose_path(small, pool, make_request("a"), 2.5)
     assert path is not None
     assert path.head is pool[0]
 
 
-def test_engines_count_as_before_while_none_of_them_is_heard() -> None:
+def test_inactivity_is_ignored_if_all_engines_are_inactive() -> None:
     """A box without control boxes hears nobody; that says nothing of the engines."""
-    path = choose_path(PROFILE, engines(), wanted("a"), 60.0)
+    path = choose_path(PROFILE, make_engines(), make_request("a"), 60.0)
     assert path is not None
     assert {engine.registration.failure_domain for engine in path.engines} == {"a"}
 
 
-def test_prompt_takes_time_on_the_link_between_failure_domains() -> None:
-    slow = half("b", Holding(first=60, end=80))
+def test_prompt_transfer_time_counts_on_inter_domain_links() -> None:
+    slow = make_engine("b", Holding(first=60, end=80))
     slow.registration = msgspec.structs.replace(slow.registration, instance="slow", card="slow")
     slow.registration = msgspec.structs.replace(slow.registration, address="slow:1")
-    last = half("a", Holding(first=60, end=80))
+    last = make_engine("a", Holding(first=60, end=80))
     last.registration = msgspec.structs.replace(last.registration, instance="last")
     last.registration = msgspec.structs.replace(last.registration, address="last:1")
-    middle = half("b", Holding(first=40, end=60))
-    pool = [half("a", Holding(first=0, end=40)), middle, slow, last]
+    middle = make_engine("b", Holding(first=40, end=60))
+    pool = [make_engine("a", Holding(first=0, end=40)), middle, slow, last]
     small = msgspec.structs.replace(PROFILE, layer_mb=250.0)
-    free = choose_path(small, pool, wanted("a"), 2.5)
+    free = choose_path(small, pool, make_request("a"), 2.5)
     narrow = msgspec.structs.replace(small, activation_bytes=91_800, pipe_bytes_per_s=1e8)
-    kept = choose_path(narrow, pool, wanted("a"), 2.5)
+    kept = choose_path(narrow, pool, make_request("a"), 2.5)
     assert free is not None
     assert kept is not None
-    assert crossings(free) == [("a", "b"), ("b", "a")]
-    assert crossings(kept) == [("a", "b")]
+    assert inter_domain_hops(free) == [("a", "b"), ("b", "a")]
+    assert inter_domain_hops(kept) == [("a", "b")]
 
 
-def test_engine_that_says_it_is_slow_is_passed_by() -> None:
-    pool = engines()
-    before = choose_path(PROFILE, pool, wanted("a"), 1.0)
+def test_engine_that_reports_a_slowdown_is_avoided() -> None:
+    pool = make_engines()
+    before = choose_path(PROFILE, pool, make_request("a"), 1.0)
     assert before is not None
     slow = before.engines[1]
     slow.slowdown, slow.slowdown_at = 8.0, 1.0
-    after = choose_path(PROFILE, pool, wanted("a"), 1.1)
+    after = choose_path(PROFILE, pool, make_request("a"), 1.1)
     assert after is not None
     assert slow not in after.engines
     # It is tried again later.
-    again = choose_path(PROFILE, pool, wanted("a"), 1.0 + SLOWDOWN_BELIEVED_SECONDS)
+    again = choose_path(PROFILE, pool, make_request("a"), 1.0 + SLOWDOWN_BELIEVED_SECONDS)
     assert again is not None
     assert slow in again.engines
 
 
-def test_engines_that_seem_full_are_a_last_resort() -> None:
-    pool = [half("a", Holding(first=0, end=40)), half("b", Holding(first=40, end=80))]
+def test_engines_estimated_full_are_a_last_resort() -> None:
+    pool = [make_engine("a", Holding(first=0, end=40)), make_engine("b", Holding(first=40, end=80))]
     small = msgspec.structs.replace(PROFILE, layer_mb=250.0)
     capacity = kv_capacity(small, "fast", 40)
     pool[1].kv_reserved = capacity
-    assert choose_path(small, pool, wanted("a"), 1.0) is None
-    anyway = msgspec.structs.replace(wanted("a"), full_at=OVERFULL_AT)
+    assert choose_path(small, pool, make_request("a"), 1.0) is None
+    anyway = msgspec.structs.replace(make_request("a"), full_fraction=OVERCOMMIT_FRACTION)
     assert choose_path(small, pool, anyway, 1.0) is not None
     pool[1].kv_reserved = capacity * 2
     assert choose_path(small, pool, anyway, 1.0) is None
 
 
-def test_streams_sent_again_pass_by_engines_that_stand_still() -> None:
+def test_retried_streams_avoid_stalled_engines() -> None:
     """The pattern: four engines of a failure domain are lost together, and one is found first.
 
     Streams on it are sent again at once; the others of the four have shown no progress since, and
     each run into one of them costs a repeat of the few that there are.
     """
-    found = engines(9.9)
+    found = make_engines(9.9)
     for item in found:
         item.proven_at = 9.99
     silent = [item for item in found if item.registration.failure_domain == "a"][:3]
     for item in silent:
         item.proven_at, item.in_flight = 9.8, 2
-    request = msgspec.structs.replace(wanted(), stalled_after=0.1)
+    request = msgspec.structs.replace(make_request(), stalled_after=0.1)
     path = choose_path(PROFILE, found, request, 10.0)
     assert path is not None
     assert not {part.instance for part in path.parts} & {
@@ -373,43 +379,43 @@
     assert again is not None
     names = {item.registration.instance for item in silent}
     assert {part.instance for part in again.parts} & names
-    request = msgspec.structs.replace(request, passed=names)
+    request = msgspec.structs.replace(request, previous_instances=names)
     passed = choose_path(PROFILE, found, request, 10.0)
     assert passed is not None
     assert not {part.instance for part in passed.parts} & names
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_engine_that_rests_is_on_no_path_and_the_time_named_is_the_first_with_one(
+def test_engines_backing_off_are_not_used_and_wait_is_exact(
     seed: int,
 ) -> None:
     """The pattern: engines ask for rest of several seconds, of one kind, of one failure domain or
     of all, as first or later ones of paths; other engines failed or were lost."""
     rng = random.Random(seed)
-    pool = engines()
+    pool = make_engines()
     table = ForwardingTable()
     whole = rng.choice([0.3, 0.9, 1.0])
     for engine in pool:
         if rng.random() < whole:
             seconds = rng.uniform(1.0, 5.0)
             ask_rest(table.book, engine.registration, engine.wishes, seconds, 0.0)
-    path = choose_path(PROFILE, pool, wanted(rng.choice("abc")), 0.5)
+    path = choose_path(PROFILE, pool, make_request(rng.choice("abc")), 0.5)
     if path is not None:
         assert not any(is_resting(engine, 0.5) for engine in path.engines)
         return
-    why = explain_no_path(PROFILE, pool, wanted(), 0.5)
+    why = explain_no_path(PROFILE, pool, make_request(), 0.5)
     assert "resting" in str(why)
     assert why.wait_seconds is not None
-    assert choose_path(PROFILE, pool, wanted(), 0.5 + why.wait_seconds - 0.001) is None
-    assert choose_path(PROFILE, pool, wanted(), 0.5 + why.wait_seconds + 0.001) is not None
+    assert choose_path(PROFILE, pool, make_request(), 0.5 + why.wait_seconds - 0.001) is None
+    assert choose_path(PROFILE, pool, make_request(), 0.5 + why.wait_seconds + 0.001) is not None
 
 
-def test_rest_is_no_reason_where_layers_lack_an_engine_for_another_one() -> None:
-    pool = engines()
+def test_no_wait_is_given_if_layers_are_uncovered_for_another_reason() -> None:
+    pool = make_engines()
     table = ForwardingTable()
     for engine in pool:
         if engine.registration.holdings[0].first == 0:
             note_lost(engine, 0.0)
         else:
             ask_rest(table.book, engine.registration, engine.wishes, 3.0, 0.0)
-    assert explain_no_path(PROFILE, pool, wanted(), 0.5).wait_seconds is None
+    assert explain_no_path(PROFILE, pool, make_request(), 0.5).wait_seconds is None
