--- a/src/ledgeladder/routing/link_load.py
+++ b/src/ledgeladder/routing/link_load.py
@@ -1,9 +1,8 @@
-"""How much of the links between failure domains the requests that cross them take.
+"""Load that requests put on the links between failure domains.
 
-A request that hands its activations on from one failure domain to another sends those of its whole
-prompt at once. All that cross share one link for each pair of failure domains, one after the other,
-so that waiting times grow without bound as the link fills. A box knows what it sends itself, and
-takes every other box to send as much.
+A request that crosses failure domains transfers the activations of its whole prompt at once. All
+such requests share one link per pair of domains and queue on it, so waits grow without bound near
+full utilization. A box knows only its own transfers and assumes that every other box sends as much.
 """
 
 from __future__ import annotations
@@ -23,49 +22,48 @@
 """Two failure domains, in alphabetical order."""
 
 DECAY_SECONDS: Final = 1.0
-"""Time over which what was sent is forgotten. Shorter than a stream lasts, so that a new loss shows
-soon; long enough for a box that starts five streams a second to see some of them."""
+"""Time constant of the exponential decay of recorded transfers. Shorter than a typical stream, so
+that a loss shows soon, but long enough to average over several streams."""
 
 NEW_REQUEST_LIMIT: Final = 0.7
-"""Share of a link up to which new requests may take it. Beyond that a prompt waits for more than
-twice the time that it takes itself, and the waits of others grow as much."""
+"""Link utilization up to which new requests may use it; queueing delay grows steeply beyond."""
 
 RESUMED_STREAM_LIMIT: Final = 0.9
-"""The same for streams that have begun and lost an engine: what was done for them is lost if they
-find no other path."""
+"""Link utilization up to which streams may resume after losing an engine. Higher, since their work
+is lost if they find no other path."""
 
 
 class LinkLoad(msgspec.Struct, kw_only=True):
-    """What this box lately sent over links between failure domains."""
+    """Decayed sum of the transfers of this box over inter-domain links."""
 
     seconds: dict[Link, float] = msgspec.field(default_factory=dict)
-    """Time that it takes on each link, in seconds; older parts count less and less."""
+    """Transfer time on each link, in seconds; older transfers count less."""
 
     updated_at: float = 0.0
-    """When that was last brought up to date, on the monotonic clock."""
+    """When the sums were last decayed, in monotonic time."""
 
 
 def inter_domain_links(domains: Iterable[str]) -> list[Link]:
-    """Return the links that a path passes.
+    """Return the inter-domain links of a path, once for each hop.
 
     Args:
-        domains: Failure domains of its engines, in order.
+        domains: Failure domains of the path's engines, in order.
 
     >>> inter_domain_links(["b", "b", "a", "b"])
     [('a', 'b'), ('a', 'b')]
     """
-    hops = list(domains)
-    pairs = zip(hops, hops[1:], strict=False)
+    path_domains = list(domains)
+    pairs = zip(path_domains, path_domains[1:], strict=False)
     return [link_between(source, target) for source, target in pairs if source != target]
 
 
 def link_between(first: str, second: str) -> Link:
-    """Return the link between two failure domains, whichever of them hands on."""
+    """Return the link between two failure domains, in either direction."""
     return min(first, second), max(first, second)
 
 
 def transfer_seconds(profile: EngineProfile, tokens: float) -> float:
-    """Return how long the activations of some tokens take on a link; 0 if that is not known."""
+    """Return the transfer time of the activations of some tokens; 0 if the bandwidth is unknown."""
     if profile.pipe_bytes_per_s <= 0:
         return 0.0
     return tokens * profile.activation_bytes / profile.pipe_bytes_per_s
@@ -74,17 +72,17 @@
 def record_transfer(
     load: LinkLoad, profile: EngineProfile, domains: Iterable[str], tokens: float, now: float
 ) -> list[Link]:
-    """Take in a request that is sent over a path.
+    """Record a request that is sent over a path.
 
     Args:
-        load: What this box sent.
-        profile: Figures of the engines.
+        load: Recorded transfers of this box.
+        profile: Performance figures of the engines.
         domains: Failure domains of the path's engines, in order.
-        tokens: Tokens whose activations are handed on at once.
+        tokens: Tokens whose activations are transferred at once.
         now: Monotonic time.
 
     Returns:
-        The links that the path passes.
+        The inter-domain links of the path, once for each hop.
     """
     _decay(load, now)
     links = inter_domain_links(domains)
@@ -94,11 +92,11 @@
 
 
 def link_utilization(load: LinkLoad, boxes: int, now: float) -> Mapping[Link, float]:
-    """Estimate which share of each link all entry boxes use; links that are left out are idle.
+    """Estimate the utilization of each link by all entry boxes; idle links are omitted.
 
     Args:
-        load: What this box sent.
-        boxes: Entry boxes that send as much.
+        load: Recorded transfers of this box.
+        boxes: Number of entry boxes, each assumed to send as much.
         now: Monotonic time.
     """
     _decay(load, now)
--- a/src/ledgeladder/routing/path_costs.py
+++ b/src/ledgeladder/routing/path_costs.py
@@ -1,4 +1,4 @@
-"""Predicted time of a request on one engine, and from one engine to the next."""
+"""Predicted times of a request on an engine and between engines."""
 
 from __future__ import annotations
 
@@ -19,71 +19,71 @@
     from .link_load import Link
 
 LOCAL_HOP_SECONDS: Final = 0.0002
-"""One-way delay inside a failure domain: a switch or two. Documents tell other delays only."""
+"""One-way delay within a failure domain. The configuration only gives delays between domains."""
 
 UNKNOWN_HOP_SECONDS: Final = 0.001
-"""One-way delay between two failure domains for which the document gives none."""
+"""One-way delay between two failure domains if the configuration gives none."""
 
 INACTIVE_PENALTY_SECONDS: Final = 5.0
-"""Cost of an engine that nobody has heard lately: a stalled request would cost about as much."""
+"""Cost of using an inactive engine: about that of a stalled request."""
 
 FULL_FRACTION: Final = 0.92
-"""Share of the KV cache and of the slots up to which this box fills an engine. The rest is kept
-free: answers are often longer than hinted, and the other boxes' requests are only estimated."""
+"""Share of the KV cache and of the slots that this box fills. The remainder covers answers longer
+than hinted and requests of other boxes, whose number is estimated."""
 
 OVERCOMMIT_FRACTION: Final = 1.2
-"""The same where no path is found otherwise: the load of other boxes is an estimate, and an engine
-without fitting says so within milliseconds or lets the request wait for what ends next."""
+"""Like `FULL_FRACTION`, used if no path is found otherwise. The load of other boxes is only an
+estimate, and an engine without room refuses quickly or queues the request."""
 
 FULLNESS_PENALTY: Final = 2.0
-"""What a full engine adds to its cost, as a multiple of the cost of an empty one; it grows with the
-square of the fullness of its KV cache or its slots, whichever is fuller. Spreads requests before
-any engine is full."""
+"""Cost that a full engine adds, as a multiple of its idle cost. Grows with the square of the
+fullness of the KV cache or the slots, whichever is higher, to spread requests before engines are
+full."""
 
 
 STALLED_COST_FACTOR: Final = 6.0
-"""How many times more an engine costs that has shown no progress since a loss: more than lies
-between the fastest and the slowest cards, so that another holder of its layers goes first. Engines
-are lost together, and each repeat that runs into another lost one is spent."""
+"""Cost factor for an engine without progress since a loss. Exceeds the speed ratio between the
+fastest and the slowest cards, so that another holder of the layers is preferred: engines often fail
+together, and each attempt on a lost engine uses up a retry."""
 
 
 class PathRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """What a path is wanted for."""
+    """What a path must serve."""
 
     prompt_tokens: int
-    """Tokens to read."""
+    """Tokens of the prompt."""
 
     answer_tokens: int
-    """Tokens that are likely to be generated."""
+    """Expected tokens of the answer."""
 
     failure_domain: str
     """Failure domain of the entry box."""
 
     link_penalties: Mapping[Link, float] = msgspec.field(default_factory=dict)
-    """Extra cost of links between failure domains that are avoided, in seconds."""
+    """Extra cost of suspected inter-domain links, in seconds."""
 
     link_utilization: Mapping[Link, float] = msgspec.field(default_factory=dict)
-    """Share of each link between failure domains that is in use."""
+    """Utilization of each inter-domain link, as a share of its capacity."""
 
     link_limit: float = NEW_REQUEST_LIMIT
-    """Share from which on a link takes no more."""
+    """Utilization from which a link accepts no more requests."""
 
     full_fraction: float = FULL_FRACTION
-    """Share of the KV cache at which an engine counts as full."""
+    """Share of the KV cache and of the slots from which an engine counts as full."""
 
     stalled_after: float = math.inf
     """Time without progress after which an engine with requests of this box is likely lost, in
-    seconds. Named after a loss only."""
+    seconds. Finite only after a loss."""
 
     previous_instances: Collection[str] = ()
-    """Runs of engines on earlier paths of the request: it was on them when it stood still."""
+    """Instances of engines on earlier paths of the request, any of which may have stalled it."""
 
     sharers: float = 1.0
-    """How many times the own requests an engine is likely to hold of all boxes."""
+    """Estimated ratio of all boxes' requests on an engine to those of this box."""
 
 
 class EngineOffer(msgspec.Struct, kw_only=True, eq=False):
-    """What one engine would do for a request with one of the ranges that it holds."""
+    """Predicted cost of running a request on one layer range of an engine."""
 
     engine: ForwardedUpstream
     """The engine."""
@@ -95,19 +95,19 @@
     """First layer of the range."""
 
     end: int
-    """One past its last layer."""
+    """One past the last layer."""
 
     max_layers: int
-    """Most layers of the range that it has fitting for in its KV cache; at least one."""
+    """Layers of the range that fit in the free KV cache; at least one."""
 
     seconds_per_layer: float
-    """Predicted time for each layer that it runs."""
+    """Predicted time for each layer."""
 
     idle_seconds_per_layer: float
-    """The same if the engine had nothing else to do and worked at its usual speed."""
+    """Predicted time for each layer if the engine were idle and at its usual speed."""
 
     fixed_seconds: float
-    """Predicted time besides, whatever it runs."""
+    """Predicted time that does not depend on the number of layers."""
 
 
 def engine_offers(
@@ -119,22 +119,22 @@
     factor: float = 1.0,
     penalize_inactive: bool = True,
 ) -> list[EngineOffer]:
-    """Return what an engine offers for a request, one offer for each range of layers that it holds.
+    """Return one offer for each layer range that an engine holds.
 
-    Times are worked out as if the whole range were used, and not for each part of it: a path is
-    chosen among thousands of parts, and the difference is small.
+    Times are computed for the whole range and not for each part of it: the search considers many
+    parts, and the difference is small.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         engine: The engine.
-        request: What the path is for.
+        request: The request to find a path for.
         now: Monotonic time.
-        factor: What its predicted times are multiplied by.
-        penalize_inactive: True if an engine that nobody has heard lately is likely lost.
+        factor: Multiplier of the predicted times.
+        penalize_inactive: Whether an inactive engine gets `INACTIVE_PENALTY_SECONDS`.
 
     Returns:
-        Offers; none if its card is not known, if its KV cache has no fitting for one layer, or if all
-        its slots are used_kv.
+        The offers; empty if the kind of card is unknown, the KV cache has no room for one layer, or
+        all slots are used.
     """
     card = profile.cards.get(engine.registration.card)
     if card is None:
@@ -177,10 +177,9 @@
 
 
 def slot_limit(engine: ForwardedUpstream) -> float:
-    """Return how many requests an engine runs at once; infinity if it tells no more than one.
+    """Return how many requests an engine runs at once; infinity if it reports no more than one.
 
-    Requests beyond that wait for a slot. Where small answers leave the KV cache half empty, slots
-    are what fills, and first events wait while other engines with the same layers have slots free.
+    Further requests wait for a slot. Short answers can fill the slots before the KV cache.
     """
     slots = engine.registration.slots
     return float(slots) if slots > 1 else math.inf
@@ -189,13 +188,13 @@
 def _seconds_per_layer(
     profile: EngineProfile, card: CardKind, request: PathRequest, running: float
 ) -> float:
-    """Return the predicted time for each layer of a request, without crowding of the KV cache.
+    """Return the predicted time per layer, without the fullness penalty.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         card: Kind of the engine's accelerator.
-        request: What the path is for.
-        running: Requests that the engine runs, this one included.
+        request: The request to find a path for.
+        running: Requests on the engine, including this one.
     """
     step = (profile.step_ms + profile.sequence_ms * running) * card.step_factor / 1000.0
     read = request.prompt_tokens / profile.read_per_s * card.read_factor
@@ -203,11 +202,11 @@
 
 
 def _layers_that_fit(profile: EngineProfile, free: float, tokens: float) -> int:
-    """Return for how many layers of a request free KV cache is enough.
+    """Return for how many layers of a request the free KV cache suffices.
 
     Args:
-        profile: Figures of the engines.
-        free: Tokens x layers that are free; infinity if the size of the cache is not known.
+        profile: Performance figures of the engines.
+        free: Free tokens x layers; infinity if the cache size is unknown.
         tokens: Tokens of the request.
     """
     if free == float("inf"):
@@ -218,14 +217,13 @@
 def handover_seconds(
     profile: EngineProfile, source: str, target: str, request: PathRequest
 ) -> float:
-    """Return what it costs that one engine hands a request on to another, in seconds.
+    """Return the cost of handing a request over between two engines, in seconds.
 
-    Every token is handed on with a delay. Between failure domains, the prompt also takes time on a
-    link that all requests share. It is charged with what it adds to the waits of all: on a link of
-    which a share u is in use, that grows with 1 / (1 - u)**2.
+    Each token adds one hop delay. Between failure domains, the transfer also occupies a shared link
+    and delays other requests on it. This queueing cost grows with 1 / (1 - u)**2 at utilization u.
 
     Returns:
-        The cost; infinity if the link takes no more.
+        The cost; infinity if the link accepts no more requests.
     """
     delay = hop_seconds(profile, source, target) * max(1, request.answer_tokens)
     if source == target:
--- a/src/ledgeladder/routing/path_search.py
+++ b/src/ledgeladder/routing/path_search.py
@@ -1,9 +1,9 @@
-"""Finding the cheapest path over offers of engines, from the first layer to the last.
+"""Dynamic-programming search for the cheapest path over engine offers.
 
-A state is a layer that has been reached and the failure domain of the engine that reached it; a
-step is a range that one engine runs. Only the cheapest way to each state is kept, whichever engine
-it last_steps with, since a hop_seconds costs the same from every engine of a failure domain. This bounds the work
-by failure domains and by the layers at which ranges begin or end.
+A state is a layer boundary and the failure domain of the engine that reached it; a step runs one
+layer range on one engine. Only the cheapest partial path to each state is kept, since the delay of
+a hop depends only on the failure domains. This bounds the work by the number of failure domains and
+boundaries.
 """
 
 from __future__ import annotations
@@ -20,43 +20,43 @@
     from .path_costs import EngineOffer, PathRequest
 
 MAX_PATH_ENGINES: Final = 32
-"""Most engines on one path."""
+"""Maximum number of engines on one path."""
 
 
 class SearchStep(msgspec.Struct, eq=False):
-    """The cheapest way found so far to run the layers up to `end`, with its last engine."""
+    """Cheapest partial path found for a state, as a linked list that ends with this step."""
 
     cost: float
-    """Predicted time of the whole way, in seconds."""
+    """Predicted time of the partial path, in seconds."""
 
     offer: EngineOffer
-    """Engine that runs the last layers of it."""
+    """Offer of the engine that runs this step."""
 
     first: int
-    """First of those layers."""
+    """First layer of the step."""
 
     end: int
-    """One past the last of them."""
+    """One past its last layer."""
 
     previous: SearchStep | None
-    """The way up to `first`; None if that is layer 0."""
+    """Partial path up to `first`; None at layer 0."""
 
     engine_count: int
-    """Engines on the way."""
+    """Engines on the partial path."""
 
     engine_ids: frozenset[int]
-    """Engines on the way, by `id`; an engine may be named once only."""
+    """Engines on the partial path, by `id`; each may be used only once."""
 
 
 def cheapest_steps(
     profile: EngineProfile, offers: list[EngineOffer], request: PathRequest
 ) -> list[SearchStep]:
-    """Find the path with the least predicted time.
+    """Find the path with the lowest predicted time.
 
     Args:
-        profile: Figures of the engines.
-        offers: What engines offer.
-        request: What the path is for.
+        profile: Performance figures of the engines.
+        offers: Offers of the engines.
+        request: The request to find a path for.
 
     Returns:
         Steps from the first layer to the last; empty if the offers do not cover all layers.
@@ -80,10 +80,9 @@
 
 
 def _boundaries(offer: EngineOffer) -> tuple[int, ...]:
-    """Return the layers at which a path may come to an engine or leave it.
+    """Return the layers at which a path may enter or leave an engine.
 
-    Those in the middle are there for an engine whose room is less than its range: it may run the
-    first layers of the range, or the last.
+    If an engine has room for only a part of its range, that part may be at the start or at the end.
     """
     return offer.first, offer.first + offer.max_layers, offer.end - offer.max_layers, offer.end
 
@@ -96,15 +95,15 @@
     previous: SearchStep | None,
     cost_before: float,
 ) -> None:
-    """Note the steps of one engine that are cheaper than what was found up to the same layer.
+    """Record each step over an offer that is cheaper than the best one known for its state.
 
     Args:
-        best: Cheapest step found so far, by the layer that it reaches and its failure domain.
-        offer: What the engine offers.
-        start: First layer that it would run.
-        last_steps: Layers up to which it could run.
-        previous: The way up to `start`; None if that is layer 0.
-        cost_before: Predicted time of that way and of the hop_seconds to the engine, in seconds.
+        best: Cheapest known step, by the layer that it reaches and its failure domain.
+        offer: Offer of the engine.
+        start: First layer that the engine would run.
+        ends: Layers up to which it could run.
+        previous: Partial path up to `start`; None at layer 0.
+        cost_before: Predicted time of that path and of the hop to the engine, in seconds.
     """
     domain = offer.failure_domain
     fixed = cost_before + offer.fixed_seconds
@@ -128,11 +127,11 @@
     start: int,
     request: PathRequest,
 ) -> tuple[SearchStep | None, float]:
-    """Choose the way to a layer after which an engine goes on.
+    """Choose the cheapest partial path that an engine can continue.
 
     Returns:
-        The way, and its predicted time with the hop_seconds to the engine, in seconds. At layer 0 there is
-        no way, and the time is that of the hop_seconds; elsewhere, None and infinity if no way may go on
+        The partial path and its predicted time including the hop to the engine, in seconds. At
+        layer 0, None and the time of the hop; elsewhere, None and infinity if no path can continue
         with the engine.
     """
     domain = offer.failure_domain
@@ -149,7 +148,7 @@
 
 
 def _backtrack(last: SearchStep) -> list[SearchStep]:
-    """Return a way's steps from the first layer to the last."""
+    """Return the steps that lead to a final step, in order."""
     steps: list[SearchStep] = []
     step: SearchStep | None = last
     while step is not None:
--- a/src/ledgeladder/routing/paths.py
+++ b/src/ledgeladder/routing/paths.py
@@ -1,11 +1,9 @@
-"""The path of one generation over engines that hold ranges of layers.
-
-Costs are predicted times (`path_costs`), so that fast cards go first and full engines are left out.
-A path that stays in one failure domain, the own one or another, goes before one that crosses
-between them: activations of all multi_domain requests share a few links, and once those are full every
-request that crosses stands still. `path_search` finds the cheapest path; this module says which
-engines may be used and in which failure domains to look, and counts what the requests of this box
-take on the engines.
+"""Path selection for one generation over engines that hold ranges of layers.
+
+The path with the lowest predicted time wins (`path_costs`). A path within one failure domain is
+preferred to one that crosses domains: inter-domain links are shared, and a saturated link stalls
+every request on it. `path_search` does the search; this module filters the engines, decides which
+failure domains to search, and counts the requests of this box per engine.
 """
 
 from __future__ import annotations
@@ -33,30 +31,29 @@
     from .path_search import SearchStep
 
 COST_JITTER: Final = 0.3
-"""Random part of the cost of an engine, so that boxes that know the same do not choose the same.
-Below the step between two kinds of cards (2.3 and 2.9): an idle fast card is still chosen."""
+"""Largest random part of an engine's cost, so that boxes with the same view choose differently.
+Smaller than the speed difference between kinds of cards: an idle fast card is still preferred."""
 
 REMOTE_CONGESTION_RATIO: Final = 1.25
-"""How many times less crowded a path in another failure domain must be: a cut would end it. The own
-one is kept until its KV caches are a third full where others are empty (`path_costs.FULLNESS_PENALTY`)."""
+"""How many times more congested the own failure domain must be than another one before the other is
+preferred. A network partition would break a path to another failure domain."""
 
 
 NO_CAPACITY: Final = "full"
-"""Why an engine cannot be used that has no room for one layer of a request."""
+"""Reason: the engine has no room for even one layer of the request."""
 
 BACKING_OFF: Final = "resting"
-"""Why an engine cannot be used that asked this box for rest."""
+"""Reason: the engine asked this box to back off."""
 
 RATE_LIMITED: Final = "limited"
-"""Why an engine cannot be used that takes a number of requests a second, of which none is left to
-this box."""
+"""Reason: the engine limits requests per second and this box has no grant left."""
 
 
 class ChosenPath(msgspec.Struct, frozen=True, kw_only=True):
-    """A path with the engines that it passes."""
+    """A path and its engines."""
 
     parts: tuple[PathPart, ...]
-    """Layers by engine, in order."""
+    """Layer ranges with their engines, in order."""
 
     engines: tuple[ForwardedUpstream, ...]
     """The engines, in the same order."""
@@ -65,7 +62,7 @@
     """Predicted time, in seconds."""
 
     congestion: float = 1.0
-    """How many times longer that is than with idle engines at their usual speed."""
+    """Predicted time relative to the same path over idle engines at their usual speed."""
 
     @property
     def domains(self) -> list[str]:
@@ -74,7 +71,7 @@
 
     @property
     def head(self) -> ForwardedUpstream:
-        """The engine that the request is sent to."""
+        """The first engine, which receives the request."""
         return self.engines[0]
 
 
@@ -87,15 +84,15 @@
     excluded: Collection[str] = (),
     rng: random.Random | None = None,
 ) -> ChosenPath | None:
-    """Find the path with the least predicted time that runs every layer once and in order.
+    """Find the path with the lowest predicted time that runs every layer once and in order.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         engines: Engines of the pool.
-        request: What the path is for.
+        request: The request to find a path for.
         now: Monotonic time.
-        excluded: Runs of engines that must not be used.
-        rng: Source of the random part of costs; without it there is none.
+        excluded: Instances of engines that must not be used.
+        rng: Source of the cost jitter; None disables it.
 
     Returns:
         The path, or None if the usable engines do not cover all layers.
@@ -107,7 +104,7 @@
         and engine.registration.instance not in excluded
         and is_usable(engine, now)
     ]
-    # If all of them are silent, this box is cut off from the control boxes that hear them.
+    # If all engines are inactive, this box is likely cut off from the control boxes instead.
     penalize_inactive = not all(is_silent(item, now) for item in usable)
     members: dict[str, list[ForwardedUpstream]] = {}
     for item in usable:
@@ -146,18 +143,17 @@
     offers_in: Callable[[str], list[EngineOffer]],
     request: PathRequest,
 ) -> ChosenPath | None:
-    """Find the cheapest path that hands no activations on between failure domains.
+    """Find the best path that stays within one failure domain.
 
-    Failure domains are compared by how crowded they are and not by their speed: all of them are
-    quick enough for callers while they have room, and the fastest would fill up alone. The own one
-    is taken without a look at the others while none could be less crowded by `REMOTE_CONGESTION_RATIO`, which
-    leaves a choice among the engines of one failure domain for most requests.
+    Failure domains are compared by congestion and not by speed; otherwise the fastest one would
+    fill up first. If no other domain could be less congested by `REMOTE_CONGESTION_RATIO`, the own
+    domain is used without searching the others.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         domains: Failure domains with usable engines.
-        offers_in: Returns what the engines of a failure domain offer.
-        request: What the path is for.
+        offers_in: Returns the offers of the engines in a failure domain.
+        request: The request to find a path for.
 
     Returns:
         The path, or None if no failure domain covers all layers by itself.
@@ -211,10 +207,10 @@
 
 
 def _newest_instances(engines: Iterable[ForwardedUpstream]) -> Iterable[ForwardedUpstream]:
-    """Return one run for each address, the one that began last.
+    """Return the most recently started instance at each address.
 
-    An engine that crashed and was started again stays registered under its old id for some seconds,
-    and may be heard once more then.
+    After a crash and restart, the old instance stays registered for some seconds, and a delayed
+    heartbeat of it may still arrive.
     """
     newest: dict[str, ForwardedUpstream] = {}
     for engine in engines:
@@ -225,30 +221,31 @@
 
 
 class NoPathReason(msgspec.Struct, frozen=True, kw_only=True):
-    """Why there is no path."""
+    """Why no path was found."""
 
     engines: Mapping[str, int]
-    """Engines of the pool by why they cannot be used; the usable ones under `usable`."""
+    """Number of engines of the pool by the reason why each is unusable; usable ones under
+    `usable`."""
 
     layers: tuple[int, int] | None
-    """First of the layers that nobody can take, and one past the last; some between them may have
-    a taker. None if each has one."""
+    """First uncovered layer and one past the last; layers between them may be covered. None if
+    every layer is covered."""
 
     full_links: tuple[Link, ...]
-    """Links between failure domains that take no more."""
+    """Links between failure domains that accept no more requests."""
 
     wait_seconds: float | None = None
-    """When engines that rest or are limited take all layers again that lack a taker, in seconds;
-    None if a layer lacks one for another reason."""
+    """Time until engines that are backing off or rate-limited cover all uncovered layers, in
+    seconds; None if a layer is uncovered for another reason."""
 
     @property
     def is_rate_limited(self) -> bool:
-        """True if engines are left out since they take no more requests in this second."""
+        """Whether engines are unusable because their rate limit is reached."""
         return self.engines.get(RATE_LIMITED, 0) > 0
 
     @property
     def is_out_of_capacity(self) -> bool:
-        """True if engines or links are full, so that there is a path once requests on them end."""
+        """Whether engines or links are full, in which case a path appears as requests finish."""
         return self.engines.get(NO_CAPACITY, 0) > 0 or bool(self.full_links)
 
     def __str__(self) -> str:
@@ -266,14 +263,17 @@
     *,
     excluded: Collection[str] = (),
 ) -> NoPathReason:
-    """Say why there is no path, for logs, answers, and the time to come back.
+    """Determine why there is no path, for logs, answers and the retry time.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         engines: Engines of the pool.
-        request: What the path was for.
+        request: The request that needed a path.
         now: Monotonic time.
-        excluded: Runs of engines that this request does not use any more.
+        excluded: Instances of engines that this request no longer uses.
+
+    Returns:
+        The reason.
     """
     reasons: Counter[str] = Counter()
     available_in = [math.inf] * profile.layers
@@ -326,7 +326,7 @@
 
     Args:
         path: The path.
-        tokens: Tokens that it is likely to hold; each takes KV cache for each layer.
+        tokens: Expected tokens of the request; each uses KV cache for each layer.
     """
     for part, engine in zip(path.parts, path.engines, strict=True):
         engine.in_flight += 1
@@ -334,7 +334,7 @@
 
 
 def release(path: ChosenPath, tokens: int) -> None:
-    """Take back what `reserve` counted; the tokens must be the same."""
+    """Undo `reserve`; `tokens` must be the same."""
     for part, engine in zip(path.parts, path.engines, strict=True):
         engine.in_flight -= 1
         engine.kv_reserved -= tokens * (part.end - part.first)
--- a/src/ledgeladder/routing/suspected_links.py
+++ b/src/ledgeladder/routing/suspected_links.py
@@ -1,7 +1,7 @@
-"""Links between failure domains over which requests stood still although all engines answered.
+"""Inter-domain links suspected because requests stalled on them although all engines answered.
 
 All requests that pass from one failure domain to another share one link. When it is slow or full,
-the engines on both sides look healthy, and everything that crosses waits.
+the engines on both sides look healthy while every request over the link stalls.
 """
 
 from __future__ import annotations
@@ -18,11 +18,10 @@
     from .link_load import Link
 
 LINK_SUSPECT_SECONDS: Final = 3.0
-"""How long a link is avoided after a request stood still on it; then it is tried again. A link that
-is slow for some seconds costs a few requests that way and not all."""
+"""How long a suspected link is avoided; it is then used again."""
 
 LINK_PENALTY_SECONDS: Final = 1.0
-"""Cost of passing such a link: as long as requests stand still there before they are moved."""
+"""Cost of using a suspected link: about the time after which a stalled request is moved."""
 
 
 class SuspectedLinks(msgspec.Struct, kw_only=True):
@@ -33,15 +32,15 @@
 
 
 def suspect_links(suspected: SuspectedLinks, domains: Iterable[str], now: float) -> list[Link]:
-    """Note that a request stood still on a path.
+    """Record that a request stalled on a path.
 
     Args:
-        suspected: The links that are avoided.
+        suspected: The suspected links.
         domains: Failure domains of its engines, in order.
         now: Monotonic time.
 
     Returns:
-        The links that the path passes, all of which are doubted, since nothing tells which it was.
+        All inter-domain links of the path; which of them stalled is unknown.
 
     >>> suspect_links(SuspectedLinks(), ["a", "a", "b"], 1.0)
     [('a', 'b')]
@@ -52,7 +51,7 @@
 
 
 def link_penalties(suspected: SuspectedLinks, now: float) -> dict[Link, float]:
-    """Return the extra cost of the links that are avoided now, in seconds; forgets the others."""
+    """Return the extra cost of suspected links, in seconds, and drop expired ones."""
     for link in [item for item, until in suspected.until.items() if until <= now]:
         del suspected.until[link]
     return dict.fromkeys(suspected.until, LINK_PENALTY_SECONDS)
--- a/tests/routing/test_link_load.py
+++ b/tests/routing/test_link_load.py
@@ -1,4 +1,4 @@
-"""Links between failure domains take requests up to a share of what they carry."""
+"""Inter-domain links accept requests up to a utilization limit."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 from .sample_site import PROFILE
 
 TRANSFER_SECONDS = 0.05
-CROWDED = msgspec.structs.replace(
+NARROW_LINKS = msgspec.structs.replace(
     PROFILE, layer_mb=250.0, activation_bytes=50_000, pipe_bytes_per_s=774 * 1e6
 )
-"""A prompt of 774 tokens takes 0.05 s on a link."""
+"""Transferring a prompt of 774 tokens takes `TRANSFER_SECONDS` on a link."""
 
 
 def make_engine(domain: str, first: int) -> ForwardedUpstream:
@@ -55,7 +55,7 @@
 
 def test_utilization_counts_all_boxes_and_decays() -> None:
     load = LinkLoad()
-    record_transfer(load, CROWDED, ["a", "a", "b", "a"], 774, 1.0)
+    record_transfer(load, NARROW_LINKS, ["a", "a", "b", "a"], 774, 1.0)
     assert link_utilization(load, 4, 1.0) == {("a", "b"): pytest.approx(4 * 2 * TRANSFER_SECONDS)}
     later = link_utilization(load, 4, 1.0 + DECAY_SECONDS)
     assert later["a", "b"] == pytest.approx(4 * 2 * TRANSFER_SECONDS / 2.718, rel=0.01)
@@ -65,15 +65,15 @@
 def test_less_used_link_is_preferred_and_full_links_refuse() -> None:
     load = LinkLoad()
     chosen = []
-    while (path := choose_path(CROWDED, POOL, make_request(load, 4), 1.0)) is not None:
+    while (path := choose_path(NARROW_LINKS, POOL, make_request(load, 4), 1.0)) is not None:
         domains = [engine.registration.failure_domain for engine in path.engines]
         chosen.append(domains[1])
-        record_transfer(load, CROWDED, domains, 774, 1.0)
+        record_transfer(load, NARROW_LINKS, domains, 774, 1.0)
         assert len(chosen) < 100
-    # Four boxes send 0.2 s of every second a request each: four of these fill a link.
+    # Each request counts as 0.2 s per second for four boxes, so four of them fill a link.
     assert sorted(chosen) == ["b"] * 4 + ["c"] * 4
     assert chosen[:2] in (["b", "c"], ["c", "b"])
-    why = explain_no_path(CROWDED, POOL, make_request(load, 4), 1.0)
+    why = explain_no_path(NARROW_LINKS, POOL, make_request(load, 4), 1.0)
     assert "full links a-b, a-c" in str(why)
     assert why.is_out_of_capacity
 
@@ -81,14 +81,17 @@
 def test_resumed_streams_may_use_reserved_capacity() -> None:
     load = LinkLoad()
     for _ in range(4):
-        record_transfer(load, CROWDED, ["a", "b"], 774, 1.0)
-        record_transfer(load, CROWDED, ["a", "c"], 774, 1.0)
-    assert choose_path(CROWDED, POOL, make_request(load, 4), 1.0) is None
-    assert choose_path(CROWDED, POOL, make_request(load, 4, RESUMED_STREAM_LIMIT), 1.0) is not None
+        record_transfer(load, NARROW_LINKS, ["a", "b"], 774, 1.0)
+        record_transfer(load, NARROW_LINKS, ["a", "c"], 774, 1.0)
+    assert choose_path(NARROW_LINKS, POOL, make_request(load, 4), 1.0) is None
+    assert (
+        choose_path(NARROW_LINKS, POOL, make_request(load, 4, RESUMED_STREAM_LIMIT), 1.0)
+        is not None
+    )
 
 
 def test_links_of_unknown_bandwidth_are_unlimited() -> None:
-    unknown = msgspec.structs.replace(CROWDED, pipe_bytes_per_s=0.0)
+    unknown = msgspec.structs.replace(NARROW_LINKS, pipe_bytes_per_s=0.0)
     load = LinkLoad()
     for _ in range(1000):
         record_transfer(load, unknown, ["a", "b"], 774, 1.0)
--- a/tests/routing/test_paths.py
+++ b/tests/routing/test_paths.py
@@ -1,4 +1,4 @@
-"""Paths over engines: every layer once and in order, and no further than need be."""
+"""Paths run every layer once and in order, and avoid unusable or costly engines and links."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def make_engines(now: float = 0.0) -> list[ForwardedUpstream]:
-    """Return the engines of the site with the layers of the first plan, last heard at a time."""
+    """Return the engines of the site with the layers of the first plan, last seen at a time."""
     made = []
     for item in settled_fleet():
         assert item.holding is not None
@@ -121,7 +121,7 @@
     path = choose_path(PROFILE, known, make_request(), 0.0)
     assert path is not None
     first = path.head
-    # Nothing else of it changes, so that nothing else keeps it out.
+    # Only the state changes, so that no other reason can exclude the engine.
     left = msgspec.structs.replace(first.registration, sequence=2, state=UpstreamState.LEAVING)
     assert put_registration(table, left, 0.0) is first
     other = choose_path(PROFILE, known, make_request(), 0.0)
@@ -165,7 +165,7 @@
         heard_at=5.0,
         began_at=5.0,
     )
-    # The run before is heard once more: a heartbeat was held up.
+    # A delayed heartbeat of the old instance arrives.
     old.heard_at = 5.05
     path = choose_path(PROFILE, [*pool, restarted], make_request(), 5.1)
     assert path is not None
@@ -193,7 +193,7 @@
 
 
 def test_boxes_with_the_same_view_choose_different_paths() -> None:
-    """When a fast engine is lost, every box moves its requests in the same moment."""
+    """When a fast engine is lost, every box moves its requests at the same time."""
     pool = make_engines()
     lost = next(item for item in pool if item.registration.instance == "b-fast-0")
     note_lost(lost, 1.0)
@@ -219,7 +219,7 @@
 
 
 def make_engine(domain: str, holding: Holding) -> ForwardedUpstream:
-    """Return an engine that holds make_engine of the layers."""
+    """Return an engine that holds one range of layers."""
     registration = Registration(
         instance=domain,
         sequence=1,
@@ -233,7 +233,7 @@
 
 
 def inter_domain_hops(path: ChosenPath) -> list[tuple[str, str]]:
-    """Return the failure domains between which a path crosses."""
+    """Return the hops of a path between failure domains."""
     domains = [engine.registration.failure_domain for engine in path.engines]
     return [pair for pair in zip(domains, domains[1:], strict=False) if pair[0] != pair[1]]
 
@@ -260,7 +260,7 @@
 
 
 def test_path_stays_in_one_failure_domain_even_if_another_is_faster() -> None:
-    """Activations of all requests that cross share the links between failure domains."""
+    """Activations of all requests between failure domains share the links between them."""
     slow = make_engine("a", Holding(first=40, end=80))
     slow.registration = msgspec.structs.replace(
         slow.registration, instance="slow", address="slow:1", card="slow"
@@ -274,11 +274,11 @@
     path = choose_path(small, pool, make_request("a"), 2.5)
     assert path is not None
     assert inter_domain_hops(path) == []
-    # Nor does a box whose own failure domain holds only a part of the model.
+    # The same holds for a box whose own failure domain holds only a part of the model.
     path = choose_path(small, pool, make_request("b"), 2.5)
     assert path is not None
     assert inter_domain_hops(path) == []
-    # Where no failure domain holds all layers, a path crosses.
+    # If no failure domain holds all layers, the path crosses domains.
     path = choose_path(small, pool, make_request("a"), 2.5, excluded={"slow"})
     assert path is not None
     assert inter_domain_hops(path) == [("a", "b")]
@@ -295,7 +295,7 @@
     path = choose_path(small, pool, make_request("a"), 2.5)
     assert path is not None
     assert path.head is pool[1]
-    # Not if the other one is as crowded.
+    # The own failure domain is used if the other one is as congested.
     pool[1].kv_reserved = 0.7 * kv_capacity(small, "fast", 80)
     path = choose_path(small, pool, make_request("a"), 2.5)
     assert path is not None
@@ -303,7 +303,7 @@
 
 
 def test_inactivity_is_ignored_if_all_engines_are_inactive() -> None:
-    """A box without control boxes hears nobody; that says nothing of the engines."""
+    """A box without control boxes receives no heartbeats, which says nothing about the engines."""
     path = choose_path(PROFILE, make_engines(), make_request("a"), 60.0)
     assert path is not None
     assert {engine.registration.failure_domain for engine in path.engines} == {"a"}
@@ -337,7 +337,7 @@
     after = choose_path(PROFILE, pool, make_request("a"), 1.1)
     assert after is not None
     assert slow not in after.engines
-    # It is tried again later.
+    # The report expires.
     again = choose_path(PROFILE, pool, make_request("a"), 1.0 + SLOWDOWN_BELIEVED_SECONDS)
     assert again is not None
     assert slow in again.engines
@@ -356,31 +356,30 @@
 
 
 def test_retried_streams_avoid_stalled_engines() -> None:
-    """The pattern: four engines of a failure domain are lost together, and one is found first.
+    """Guards against spending retries on engines of a failure domain that were lost together.
 
-    Streams on it are sent again at once; the others of the four have shown no progress since, and
-    each run into one of them costs a repeat of the few that there are.
+    Only one of them is known to be lost; the others have shown no progress since.
     """
-    found = make_engines(9.9)
-    for item in found:
+    pool = make_engines(9.9)
+    for item in pool:
         item.proven_at = 9.99
-    silent = [item for item in found if item.registration.failure_domain == "a"][:3]
-    for item in silent:
+    stalled = [item for item in pool if item.registration.failure_domain == "a"][:3]
+    for item in stalled:
         item.proven_at, item.in_flight = 9.8, 2
     request = msgspec.structs.replace(make_request(), stalled_after=0.1)
-    path = choose_path(PROFILE, found, request, 10.0)
+    path = choose_path(PROFILE, pool, request, 10.0)
     assert path is not None
     assert not {part.instance for part in path.parts} & {
-        item.registration.instance for item in silent
+        item.registration.instance for item in stalled
     }
-    for item in silent:
+    for item in stalled:
         item.in_flight = 0
-    again = choose_path(PROFILE, found, request, 10.0)
+    again = choose_path(PROFILE, pool, request, 10.0)
     assert again is not None
-    names = {item.registration.instance for item in silent}
+    names = {item.registration.instance for item in stalled}
     assert {part.instance for part in again.parts} & names
     request = msgspec.structs.replace(request, previous_instances=names)
-    passed = choose_path(PROFILE, found, request, 10.0)
+    passed = choose_path(PROFILE, pool, request, 10.0)
     assert passed is not None
     assert not {part.instance for part in passed.parts} & names
 
@@ -389,14 +388,16 @@
 def test_engines_backing_off_are_not_used_and_wait_is_exact(
     seed: int,
 ) -> None:
-    """The pattern: engines ask for rest of several seconds, of one kind, of one failure domain or
-    of all, as first or later ones of paths; other engines failed or were lost."""
+    """Engines back off for several seconds: some, or all of them.
+
+    There is no path before the wait that is given has passed, and there is one right after it.
+    """
     rng = random.Random(seed)
     pool = make_engines()
     table = ForwardingTable()
-    whole = rng.choice([0.3, 0.9, 1.0])
+    share = rng.choice([0.3, 0.9, 1.0])
     for engine in pool:
-        if rng.random() < whole:
+        if rng.random() < share:
             seconds = rng.uniform(1.0, 5.0)
             ask_rest(table.book, engine.registration, engine.wishes, seconds, 0.0)
     path = choose_path(PROFILE, pool, make_request(rng.choice("abc")), 0.5)
