--- a/bench/capacity/cores.py
+++ b/bench/capacity/cores.py
@@ -20,7 +20,7 @@
     apply_objects,
     digest,
 )
-from ledgeladder.routing.chain import better_of_two, choose_route, engines_for
+from ledgeladder.routing.chain import better_of_two, choose_route, eligible_engines
 from ledgeladder.routing.upstream_table import UpstreamTable, adopt_configuration
 from standins.keys import new_key
 from standins.membership_network import Network
@@ -112,7 +112,7 @@
         rounds = 100
         began = time.perf_counter()
         for _ in range(rounds):
-            engines = engines_for(table, pipeline, 1.0, allowed=lambda view: True)
+            engines = eligible_engines(table, pipeline, 1.0, allowed=lambda view: True)
             assert isinstance(choose_route(engines, LAYERS, pick), Success)
         points.append((replicas, (time.perf_counter() - began) / rounds * 1e6))
     return Slope(
--- a/src/ledgeladder/daemons/entry/context.py
+++ b/src/ledgeladder/daemons/entry/context.py
@@ -31,7 +31,7 @@
     from ...links.messages import LinkMessage
     from ...model import ClientAccount
     from ...routing.admission import Ticket
-    from ...routing.chain import Pick
+    from ...routing.chain import EngineSelector
     from ...settings import EntrySettings
     from ..limit_keeper import LimitKeeper
     from .command_client import CommandClient
@@ -57,7 +57,7 @@
     admission: Admission
     """Limits and queue."""
 
-    pick: Pick
+    pick: EngineSelector
     """Choice among engines."""
 
     rng: random.Random
--- a/src/ledgeladder/daemons/entry/generation.py
+++ b/src/ledgeladder/daemons/entry/generation.py
@@ -10,7 +10,7 @@
 from returns.result import Failure
 
 from ...model import Execution, Problem, ProblemError, ResultCode, Route
-from ...routing.chain import choose_route, engines_for, replace_stages
+from ...routing.chain import choose_route, eligible_engines, replace_stages
 from ...routing.rate_grants import any_limited, note_wanted
 from ...routing.retry_budget import note_first_try, take_retry
 from ...routing.session import Session, begin_attempt
@@ -134,7 +134,7 @@
         ProblemError: If there is none; nothing has run.
     """
     _want_grants(context, request)
-    engines = engines_for(context.upstreams, request.pipeline, now(), allowed=request.allowed)
+    engines = eligible_engines(context.upstreams, request.pipeline, now(), allowed=request.allowed)
     chosen = choose_route(engines, request.pipeline.layers, context.pick)
     if isinstance(chosen, Failure):
         _refuse_if_unwanted(context, request)
@@ -178,8 +178,8 @@
     """
     at = now()
     for wait in sorted({0.0} | {view_wait(view, at) for view in context.upstreams.views.values()}):
-        engines = engines_for(
-            context.upstreams, request.pipeline, at, allowed=request.allowed, within=wait
+        engines = eligible_engines(
+            context.upstreams, request.pipeline, at, allowed=request.allowed, available_within=wait
         )
         if not isinstance(choose_route(engines, request.pipeline.layers, context.pick), Failure):
             return wait or None
@@ -197,7 +197,9 @@
     patient_until = now() + ROUTE_PATIENCE_SECONDS
     while True:
         _want_grants(context, request)
-        engines = engines_for(context.upstreams, request.pipeline, now(), allowed=request.allowed)
+        engines = eligible_engines(
+            context.upstreams, request.pipeline, now(), allowed=request.allowed
+        )
         assert session.route is not None
         replaced = replace_stages(session.route, outcome.blamed, engines, context.pick)
         if replaced is not None:
--- a/src/ledgeladder/daemons/entry/main.py
+++ b/src/ledgeladder/daemons/entry/main.py
@@ -37,7 +37,7 @@
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
 
-    from ...routing.chain import Pick
+    from ...routing.chain import EngineSelector
     from ...settings import ControlPeer, EntryPeer, EntrySettings
 
 logger = logging.getLogger(__name__)
@@ -73,7 +73,7 @@
     )
 
 
-def _pick(settings: EntrySettings, rng: random.Random) -> Pick:
+def _pick(settings: EntrySettings, rng: random.Random) -> EngineSelector:
     match settings.entry.route_choice:
         case "better-of-two":
             return better_of_two(rng)
--- a/src/ledgeladder/daemons/gateway/retry_after.py
+++ b/src/ledgeladder/daemons/gateway/retry_after.py
@@ -44,4 +44,4 @@
     held = [item.end - item.first for engine in engines for item in engine.registration.holdings]
     if profile is None or not held or (missing is not None and missing.is_out_of_capacity):
         return retry_after_full(state)
-    return max(MIN_RETRY_SECONDS, load_seconds(profile, sum(held) // len(held), loads=1))
+    return max(MIN_RETRY_SECONDS, load_seconds(profile, sum(held) // len(held), concurrent_loads=1))
--- a/src/ledgeladder/daemons/registry/placing.py
+++ b/src/ledgeladder/daemons/registry/placing.py
@@ -19,7 +19,7 @@
 from ...coordination.loss_evidence import seems_lost
 from ...coordination.registrations import superseded
 from ...model.registration import UpstreamState
-from ...routing.group_plan import most_layers
+from ...routing.group_plan import max_layers
 from ...routing.load_time import load_seconds
 from ...routing.placed_engine import PlacedEngine
 from ...routing.placement import (
@@ -35,7 +35,7 @@
 if TYPE_CHECKING:
     from ...model.registration import Holding, Registration
     from ...model.traffic import UpstreamPool
-    from ...routing.group_plan import PlanShapes
+    from ...routing.group_plan import PlanCache
     from .state import RegistryState
 
 logger = logging.getLogger(__name__)
@@ -97,7 +97,7 @@
     profile = pool.engine
     serves = any(item.holdings for item in engines)
     # Engines that serve are enough. Adding up all of them in each look is work for the start only.
-    is_enough = serves or profile.layers <= sum(most_layers(profile, item.card) for item in engines)
+    is_enough = serves or profile.layers <= sum(max_layers(profile, item.card) for item in engines)
     return gathering.is_over(len(engines), anyio.current_time(), serves=serves, is_enough=is_enough)
 
 
@@ -200,7 +200,7 @@
             failure_domain=item.failure_domain,
             card=item.card,
             holding=_holding(state, item),
-            settled=item.instance not in state.ledger.sent,
+            is_loaded=item.instance not in state.ledger.sent,
         )
         for item in engines
     ]
@@ -246,7 +246,7 @@
     placed = _placed(state, [item for item in ready if item.instance not in waiting])
     leaving = _placed(state, [item for item in engines if item.state is UpstreamState.LEAVING])
     chosen: dict[str, Holding] = {}
-    shapes: PlanShapes = {}
+    shapes: PlanCache = {}
     for group in group_engines(pool.engine, placed):
         for part in split_group(group):
             chosen |= plan_placement(pool.engine, part, leaving, shapes)
--- a/src/ledgeladder/routing/chain.py
+++ b/src/ledgeladder/routing/chain.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from ..model import Pipeline
 
-Pick = Callable[[Sequence[UpstreamView], int], UpstreamView]
+EngineSelector = Callable[[Sequence[UpstreamView], int], UpstreamView]
 """Chooses among the engines that hold a layer."""
 
 
@@ -40,47 +40,47 @@
     return in_progress * span / view.upstream.layers_per_second
 
 
-def better_of_two(rng: random.Random) -> Pick:
+def better_of_two(rng: random.Random) -> EngineSelector:
     """Return a choice of the less loaded of two random candidates, weighted by speed."""
 
-    def pick(candidates: Sequence[UpstreamView], first: int) -> UpstreamView:
+    def select(candidates: Sequence[UpstreamView], first: int) -> UpstreamView:
         if len(candidates) == 1:
             return candidates[0]
         weights = [view.upstream.layers_per_second for view in candidates]
         pair = rng.choices(candidates, weights=weights, k=2)
         return min(pair, key=lambda view: expected_work(view, first))
 
-    return pick
+    return select
 
 
-def round_robin() -> Pick:
+def round_robin() -> EngineSelector:
     """Return a choice that takes candidates in turn; a baseline for measurements."""
     turn = 0
 
-    def pick(candidates: Sequence[UpstreamView], first: int) -> UpstreamView:
+    def select(candidates: Sequence[UpstreamView], first: int) -> UpstreamView:
         nonlocal turn
         turn += 1
         return candidates[turn % len(candidates)]
 
-    return pick
+    return select
 
 
-def least_loaded() -> Pick:
+def least_loaded() -> EngineSelector:
     """Return a choice of the engine with the least expected work; a baseline for measurements."""
 
-    def pick(candidates: Sequence[UpstreamView], first: int) -> UpstreamView:
+    def select(candidates: Sequence[UpstreamView], first: int) -> UpstreamView:
         return min(candidates, key=lambda view: expected_work(view, first))
 
-    return pick
+    return select
 
 
-def engines_for(
+def eligible_engines(
     table: UpstreamTable,
     pipeline: Pipeline,
     now: float,
     *,
     allowed: Callable[[UpstreamView], bool],
-    within: float = 0.0,
+    available_within: float = 0.0,
 ) -> list[UpstreamView]:
     """Return the engines that may take new work for a pipeline.
 
@@ -96,12 +96,12 @@
         for view in table.views.values()
         if view.upstream.kind is UpstreamKind.ENGINE
         and view.upstream.model == pipeline.model
-        and usable(view, now, within)
+        and usable(view, now, available_within)
         and allowed(view)
     ]
 
 
-def coverable(engines: Iterable[UpstreamView], layers: int) -> list[bool]:
+def suffixes_covered(engines: Iterable[UpstreamView], layers: int) -> list[bool]:
     """Tell from which layers on the rest can be covered.
 
     Args:
@@ -111,29 +111,29 @@
     Returns:
         For each layer from 0 to `layers`, whether a chain from there to the end exists.
     """
-    reach = [False] * layers + [True]
+    is_covered = [False] * layers + [True]
     ranges = [(view.upstream.first_layer, view.upstream.end_layer) for view in engines]
     for layer in range(layers - 1, -1, -1):
-        reach[layer] = any(
-            first <= layer < end and reach[min(end, layers)] for first, end in ranges
+        is_covered[layer] = any(
+            first <= layer < end and is_covered[min(end, layers)] for first, end in ranges
         )
-    return reach
+    return is_covered
 
 
 def cover_span(
-    engines: Sequence[UpstreamView], span: LayerSpan, pick: Pick
+    engines: Sequence[UpstreamView], span: LayerSpan, select: EngineSelector
 ) -> tuple[Stage, ...] | None:
     """Cover one span of layers by a chain of engines.
 
     Args:
         engines: Engines that may be used.
         span: Layers to cover.
-        pick: Chooses among candidates.
+        select: Chooses among candidates.
 
     Returns:
         Stages in order, or None if some layer is held by no engine.
     """
-    reach = coverable(engines, span.end)
+    is_covered = suffixes_covered(engines, span.end)
     stages: list[Stage] = []
     layer = span.first
     while layer < span.end:
@@ -141,11 +141,11 @@
             view
             for view in engines
             if view.upstream.first_layer <= layer < view.upstream.end_layer
-            and reach[min(view.upstream.end_layer, span.end)]
+            and is_covered[min(view.upstream.end_layer, span.end)]
         ]
         if not candidates:
             return None
-        chosen = pick(candidates, layer).upstream
+        chosen = select(candidates, layer).upstream
         end = min(chosen.end_layer, span.end)
         stages.append(
             Stage(
@@ -167,28 +167,28 @@
 
 
 def choose_route(
-    engines: Sequence[UpstreamView], layers: int, pick: Pick
+    engines: Sequence[UpstreamView], layers: int, select: EngineSelector
 ) -> Result[Route, Problem]:
     """Choose a route over all layers.
 
     Args:
         engines: Engines that may be used.
         layers: Number of layers of the model.
-        pick: Chooses among candidates.
+        select: Chooses among candidates.
 
     Returns:
         A route, or a problem that names the layers that nobody holds.
     """
-    stages = cover_span(engines, LayerSpan(first=0, end=layers), pick)
+    stages = cover_span(engines, LayerSpan(first=0, end=layers), select)
     if stages is not None:
         return Success(Route(stages=stages))
     missing = missing_layers(engines, layers)
-    detail = f"no reachable upstream holds layers {_ranges(missing)}"
+    detail = f"no reachable upstream holds layers {_format_ranges(missing)}"
     return Failure(Problem(code=ResultCode.NO_ROUTE, detail=detail, retry_after=2.0))
 
 
 def replace_stages(
-    route: Route, lost: frozenset[str], engines: Sequence[UpstreamView], pick: Pick
+    route: Route, lost: frozenset[str], engines: Sequence[UpstreamView], select: EngineSelector
 ) -> Route | None:
     """Replace the lost stages of a route and keep all others, with the state that they hold.
 
@@ -199,30 +199,30 @@
         route: The route in use.
         lost: Names of the upstreams that were lost.
         engines: Engines that may be used; those lost are passed over.
-        pick: Chooses among candidates.
+        select: Chooses among candidates.
 
     Returns:
         A route that covers the same layers, or None if nobody holds the lost ones.
     """
-    taken = set(route.upstreams)
+    used = set(route.upstreams)
     stages: list[Stage] = []
     for stage in route.stages:
         if stage.upstream not in lost:
             stages.append(stage)
             continue
-        remaining = [view for view in engines if view.upstream.name not in taken]
-        replacement = cover_span(remaining, stage.span, pick)
+        remaining = [view for view in engines if view.upstream.name not in used]
+        replacement = cover_span(remaining, stage.span, select)
         if replacement is None:
             return None
         stages.extend(replacement)
-        taken.update(new.upstream for new in replacement)
+        used.update(new.upstream for new in replacement)
     return Route(stages=tuple(stages))
 
 
-def _ranges(layers: Sequence[int]) -> str:
+def _format_ranges(layers: Sequence[int]) -> str:
     """Write a list of layers as ranges.
 
-    >>> _ranges([0, 1, 2, 7])
+    >>> _format_ranges([0, 1, 2, 7])
     '0-2, 7'
     """
     parts: list[str] = []
--- a/src/ledgeladder/routing/group_plan.py
+++ b/src/ledgeladder/routing/group_plan.py
@@ -12,7 +12,7 @@
 import math
 from typing import TYPE_CHECKING, Final
 
-from .layer_coverage import LayerCoverage, requests_beside, slowness
+from .layer_coverage import LayerCoverage, card_step_factor, request_capacity
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -21,15 +21,15 @@
     from ..model.traffic import EngineProfile
     from .placed_engine import PlacedEngine
 
-COPIES_FACTOR: Final = 1.12
+COPIES_STEP: Final = 1.12
 """Ratio between the numbers of copies that are tried: about one layer in ten more an engine."""
 
-LEAST_REQUESTS: Final = 1.0
+MIN_REQUESTS: Final = 1.0
 """Requests of the usual size that an engine must have room for beside its layers."""
 
 
-def most_layers(profile: EngineProfile, card: str) -> int:
-    """Return the most layers that leave a card room for `LEAST_REQUESTS`.
+def max_layers(profile: EngineProfile, card: str) -> int:
+    """Return the limits layers that leave a card room for `MIN_REQUESTS`.
 
     Args:
         profile: Figures of the engines.
@@ -42,7 +42,7 @@
     if kind is None or profile.layer_mb <= 0:
         return 0
     layers = min(int(kind.memory_mb // profile.layer_mb), profile.layers)
-    while layers > 0 and requests_beside(profile, card, layers) < LEAST_REQUESTS:
+    while layers > 0 and request_capacity(profile, card, layers) < MIN_REQUESTS:
         layers -= 1
     return layers
 
@@ -60,14 +60,14 @@
     Returns:
         Number of layers; 0 if the card cannot hold any.
     """
-    most = most_layers(profile, card)
-    if most == 0:
+    limit = max_layers(profile, card)
+    if limit == 0:
         return 0
-    return max(1, min(most, round(profile.cards[card].memory_mb * layers_per_mb)))
+    return max(1, min(limit, round(profile.cards[card].memory_mb * layers_per_mb)))
 
 
-def share_out(profile: EngineProfile, cards: Sequence[str], layers: int) -> list[int]:
-    """Divide layers among engines so that the one with the least room for requests has the most.
+def divide_layers(profile: EngineProfile, cards: Sequence[str], layers: int) -> list[int]:
+    """Divide layers among engines so that the one with the least room for requests has the limits.
 
     Args:
         profile: Figures of the engines.
@@ -77,21 +77,21 @@
     Returns:
         Layers for each engine; fewer in all than were to be divided if they hold no more.
     """
-    most = [most_layers(profile, card) for card in cards]
-    counts = [min(1, limit) for limit in most]
+    limits = [max_layers(profile, card) for card in cards]
+    counts = [min(1, limit) for limit in limits]
 
     def rank(index: int) -> tuple[float, int]:
-        return -requests_beside(profile, cards[index], counts[index] + 1), index
+        return -request_capacity(profile, cards[index], counts[index] + 1), index
 
-    waiting = [rank(index) for index, limit in enumerate(most) if counts[index] < limit]
-    heapq.heapify(waiting)
+    candidates = [rank(index) for index, limit in enumerate(limits) if counts[index] < limit]
+    heapq.heapify(candidates)
     for _ in range(layers - sum(counts)):
-        if not waiting:
+        if not candidates:
             break
-        _room, index = heapq.heappop(waiting)
+        _capacity, index = heapq.heappop(candidates)
         counts[index] += 1
-        if counts[index] < most[index]:
-            heapq.heappush(waiting, rank(index))
+        if counts[index] < limits[index]:
+            heapq.heappush(candidates, rank(index))
     return counts
 
 
@@ -105,17 +105,17 @@
     Returns:
         The rate; 0 if they cannot hold all layers with room for a request.
     """
-    able = [item.card for item in engines if most_layers(profile, item.card) > 0]
-    counts = share_out(profile, able, profile.layers)
+    capable = [item.card for item in engines if max_layers(profile, item.card) > 0]
+    counts = divide_layers(profile, capable, profile.layers)
     if sum(counts) < profile.layers:
         return 0.0
-    parts = list(zip(able, counts, strict=True))
-    room = min(requests_beside(profile, card, count) for card, count in parts)
+    parts = list(zip(capable, counts, strict=True))
+    capacity = min(request_capacity(profile, card, count) for card, count in parts)
     seconds = sum(_layer_seconds(profile, card) * count for card, count in parts)
-    return room * sum(counts) / max(seconds * profile.layers, 1e-9)
+    return capacity * sum(counts) / max(seconds * profile.layers, 1e-9)
 
 
-PlanShapes = dict[tuple[str, ...], tuple["Holding", ...]]
+PlanCache = dict[tuple[str, ...], tuple["Holding", ...]]
 """Plans that were made, by the cards of the group: the layers of each engine in the order of the
 cards. Groups with the same cards get the same plan, and it is worked out once."""
 
@@ -123,27 +123,27 @@
 def plan_group(
     profile: EngineProfile,
     engines: Sequence[PlacedEngine],
-    shapes: PlanShapes | None = None,
+    cache: PlanCache | None = None,
 ) -> dict[str, Holding]:
     """Choose layers for a group of engines none of which holds any.
 
     Args:
         profile: Figures of the engines.
         engines: Engines that can hold at least one layer each.
-        shapes: Plans that were made for the same profile; takes this one.
+        cache: Plans that were made for the same profile; takes this one.
 
     Returns:
         Layers by engine, the fast cards first.
     """
     ordered = sorted(
-        engines, key=lambda item: (slowness(profile, item.card), item.card, item.instance)
+        engines, key=lambda item: (card_step_factor(profile, item.card), item.card, item.instance)
     )
     cards = tuple(item.card for item in ordered)
-    shapes = {} if shapes is None else shapes
-    if cards not in shapes:
+    cache = {} if cache is None else cache
+    if cards not in cache:
         plan = _best_plan(profile, ordered)
-        shapes[cards] = tuple(plan[item.instance] for item in ordered)
-    return {item.instance: held for item, held in zip(ordered, shapes[cards], strict=True)}
+        cache[cards] = tuple(plan[item.instance] for item in ordered)
+    return {item.instance: held for item, held in zip(ordered, cache[cards], strict=True)}
 
 
 def _best_plan(profile: EngineProfile, ordered: Sequence[PlacedEngine]) -> dict[str, Holding]:
@@ -153,33 +153,35 @@
     leaves more room where parts are few layers each, the second more overlap between engines.
     """
     cards = [item.card for item in ordered]
-    most = sum(most_layers(profile, card) for card in cards)
+    max_total = sum(max_layers(profile, card) for card in cards)
     best: dict[str, Holding] = {}
-    best_worth = -1.0
-    wanted = float(profile.layers)
-    while wanted < most * COPIES_FACTOR:
-        per_mb = wanted / sum(profile.cards[card].memory_mb for card in cards)
-        shares = (
-            share_out(profile, cards, round(wanted)),
+    best_score = -1.0
+    total_layers = float(profile.layers)
+    while total_layers < max_total * COPIES_STEP:
+        per_mb = total_layers / sum(profile.cards[card].memory_mb for card in cards)
+        divisions = (
+            divide_layers(profile, cards, round(total_layers)),
             [layers_by_memory(profile, card, per_mb) for card in cards],
         )
-        for counts, by_speed in itertools.product(shares, (True, False)):
+        for counts, by_speed in itertools.product(divisions, (True, False)):
             coverage = LayerCoverage(profile=profile, by_speed=by_speed)
-            chosen = lay_out(ordered, counts, coverage)
-            worth = plan_worth(profile, ordered, chosen)
-            if worth > best_worth:
-                best, best_worth = chosen, worth
-        wanted *= COPIES_FACTOR
+            chosen = assign_ranges(ordered, counts, coverage)
+            score = plan_score(profile, ordered, chosen)
+            if score > best_score:
+                best, best_score = chosen, score
+        total_layers *= COPIES_STEP
     if best:
         return best
     # Too little for a copy: all that fits, for paths that cross to other groups.
-    return lay_out(ordered, share_out(profile, cards, most), LayerCoverage(profile=profile))
+    return assign_ranges(
+        ordered, divide_layers(profile, cards, max_total), LayerCoverage(profile=profile)
+    )
 
 
-def lay_out(
+def assign_ranges(
     engines: Sequence[PlacedEngine], counts: Sequence[int], coverage: LayerCoverage
 ) -> dict[str, Holding]:
-    """Place engines one after the other, each where its layers are needed most.
+    """Place engines one after the other, each where its layers are needed limits.
 
     Args:
         engines: The engines, none of which holds layers, in the order in which they are placed.
@@ -197,7 +199,7 @@
     return chosen
 
 
-def plan_worth(
+def plan_score(
     profile: EngineProfile, engines: Sequence[PlacedEngine], holdings: Mapping[str, Holding]
 ) -> float:
     """Judge a plan by the requests a second that the group carries, whole and after a loss.
@@ -205,7 +207,7 @@
     The state with all engines counts as much as the mean over the states with one of them lost,
     which is right for a group that is short of an engine half of the time. Each doubling of the
     rate counts the same, since the demand is not known when layers are first loaded: a group that
-    carries nothing after most losses is worse than one that always carries half.
+    carries nothing after limits losses is worse than one that always carries half.
 
     Args:
         profile: Figures of the engines.
@@ -215,27 +217,27 @@
     Returns:
         A figure to compare plans for the same engines by; 0 if they lack a layer.
     """
-    room = {item.instance: 0.0 for item in engines}
-    carried = [0.0] * profile.layers
+    capacities = {item.instance: 0.0 for item in engines}
+    layer_capacity = [0.0] * profile.layers
     seconds = [math.inf] * profile.layers
     for item in engines:
         holding = holdings[item.instance]
-        requests = requests_beside(profile, item.card, holding.end - holding.first)
-        room[item.instance] = requests
-        layer_time = _layer_seconds(profile, item.card)
+        requests = request_capacity(profile, item.card, holding.end - holding.first)
+        capacities[item.instance] = requests
+        layer_seconds = _layer_seconds(profile, item.card)
         for layer in range(holding.first, holding.end):
-            carried[layer] += requests
-            seconds[layer] = min(seconds[layer], layer_time)
-    least = min(carried)
-    if least <= 0.0:
+            layer_capacity[layer] += requests
+            seconds[layer] = min(seconds[layer], layer_seconds)
+    min_carried = min(layer_capacity)
+    if min_carried <= 0.0:
         return 0.0
     total = max(sum(seconds), 1e-9)
     after_losses = 0.0
     for item in engines:
         holding = holdings[item.instance]
-        left = min(carried[holding.first : holding.end]) - room[item.instance]
-        after_losses += math.log1p(max(0.0, min(least, left)) / total)
-    return math.log1p(least / total) + after_losses / len(engines)
+        remaining = min(layer_capacity[holding.first : holding.end]) - capacities[item.instance]
+        after_losses += math.log1p(max(0.0, min(min_carried, remaining)) / total)
+    return math.log1p(min_carried / total) + after_losses / len(engines)
 
 
 def _layer_seconds(profile: EngineProfile, card: str) -> float:
--- a/src/ledgeladder/routing/layer_coverage.py
+++ b/src/ledgeladder/routing/layer_coverage.py
@@ -15,22 +15,22 @@
 MEGABYTE: Final = 1e6
 """Bytes of a megabyte, as cards and layers are measured."""
 
-DOMAIN_WEIGHT: Final = 10.0
+DOMAIN_NEED_WEIGHT: Final = 10.0
 """How much more a layer counts that its own failure domain lacks than one that all lack."""
 
-OFFSET: Final = 0.1
+NEED_OFFSET: Final = 0.1
 """Added to what a layer carries, so that one without any holder has a finite need."""
 
-POWER: Final = 2
+NEED_EXPONENT: Final = 2
 """How steeply the need of a layer falls with what it carries: steep enough that a layer with one
 holder goes before several that have two, and no more, since a range is placed by the sum over its
 layers."""
 
-CAPACITY_LIMIT: Final = 1e6
+MAX_REQUEST_CAPACITY: Final = 1e6
 """Requests that an engine counts for where the size of a token's KV cache is not known."""
 
 
-def slowness(profile: EngineProfile, card: str) -> float:
+def card_step_factor(profile: EngineProfile, card: str) -> float:
     """Return the step factor of a kind of card, or infinity for an unknown kind."""
     kind = profile.cards.get(card)
     return kind.step_factor if kind is not None else float("inf")
@@ -59,7 +59,7 @@
     return max(1.0, profile.usual_prompt + profile.usual_answer)
 
 
-def requests_beside(profile: EngineProfile, card: str, layers: int) -> float:
+def request_capacity(profile: EngineProfile, card: str, layers: int) -> float:
     """Return how many requests of the usual size an engine runs beside its layers.
 
     Room in the KV cache beyond the slots is worth nothing, and is better used for more layers.
@@ -86,14 +86,14 @@
     """True to divide what an engine counts for by the step factor of its card: slow cards then
     gather at layers that fast ones do not hold."""
 
-    everywhere: list[float] = msgspec.field(default_factory=list)
+    all_domains: list[float] = msgspec.field(default_factory=list)
     """Sum over all failure domains, by layer; of the right length from the start."""
 
     by_domain: dict[str, list[float]] = msgspec.field(default_factory=dict)
     """Sum within each failure domain, by layer."""
 
     def __post_init__(self) -> None:
-        self.everywhere = [0.0] * self.profile.layers
+        self.all_domains = [0.0] * self.profile.layers
 
     def domain(self, name: str) -> list[float]:
         """Return the sums within one failure domain, by layer; the list itself, not a copy."""
@@ -102,10 +102,10 @@
     def capacity(self, engine: PlacedEngine, holding: Holding) -> float:
         """Return what an engine would count for if it held a range of layers."""
         count = max(1, holding.end - holding.first)
-        requests = min(requests_beside(self.profile, engine.card, count), CAPACITY_LIMIT)
+        requests = min(request_capacity(self.profile, engine.card, count), MAX_REQUEST_CAPACITY)
         if not self.by_speed:
             return requests
-        return requests / max(1e-9, slowness(self.profile, engine.card))
+        return requests / max(1e-9, card_step_factor(self.profile, engine.card))
 
     def add(self, engine: PlacedEngine, holding: Holding) -> None:
         """Count an engine."""
@@ -113,7 +113,7 @@
         domain = self.domain(engine.failure_domain)
         for layer in range(holding.first, min(holding.end, self.profile.layers)):
             domain[layer] += capacity
-            self.everywhere[layer] += capacity
+            self.all_domains[layer] += capacity
 
     def best_range(self, engine: PlacedEngine, count: int) -> Holding:
         """Return the range whose layers need another holder most.
@@ -127,9 +127,9 @@
         """
         domain = self.domain(engine.failure_domain)
         need = [
-            DOMAIN_WEIGHT / (OFFSET + own if own > 0.0 else OFFSET) ** POWER
-            + 1.0 / (OFFSET + total if total > 0.0 else OFFSET) ** POWER
-            for own, total in zip(domain, self.everywhere, strict=True)
+            DOMAIN_NEED_WEIGHT / (NEED_OFFSET + own if own > 0.0 else NEED_OFFSET) ** NEED_EXPONENT
+            + 1.0 / (NEED_OFFSET + total if total > 0.0 else NEED_OFFSET) ** NEED_EXPONENT
+            for own, total in zip(domain, self.all_domains, strict=True)
         ]
         window = sum(need[:count])
         best, first = window, 0
--- a/src/ledgeladder/routing/load_time.py
+++ b/src/ledgeladder/routing/load_time.py
@@ -11,7 +11,7 @@
     from ..model.traffic import EngineProfile
 
 
-def load_seconds(profile: EngineProfile, layers: int, loads: int) -> float:
+def load_seconds(profile: EngineProfile, layers: int, concurrent_loads: int) -> float:
     """Predict how long a load takes, in seconds.
 
     Args:
@@ -19,5 +19,5 @@
         layers: Number of layers to load.
         loads: Loads that run at a time; beyond `loads_at_once` they slow each other down.
     """
-    sharing = max(1.0, loads / max(1, profile.loads_at_once))
-    return profile.load_seconds * layers / profile.layers * sharing
+    slowdown = max(1.0, concurrent_loads / max(1, profile.loads_at_once))
+    return profile.load_seconds * layers / profile.layers * slowdown
--- a/src/ledgeladder/routing/placed_engine.py
+++ b/src/ledgeladder/routing/placed_engine.py
@@ -25,5 +25,5 @@
     holding: Holding | None
     """Layers that it holds or was ordered to hold; None if it has none."""
 
-    settled: bool = True
+    is_loaded: bool = True
     """False while it has not reported the layers that it was ordered to hold."""
--- a/src/ledgeladder/routing/placement.py
+++ b/src/ledgeladder/routing/placement.py
@@ -1,7 +1,7 @@
 """Which layers each engine holds.
 
 Engines come with cards of different memory and speed in several failure domains. Each engine gets
-one range of layers and keeps the rest of its memory for the KV cache of requests. Each failure
+one range of layers and keeps the remaining of its memory for the KV cache of requests. Each failure
 domain that can hold the whole model does (`group_plan` says how many copies), so that its requests
 need not cross to another one. What is moved after a loss is in `placement_repair`.
 """
@@ -11,13 +11,13 @@
 from typing import TYPE_CHECKING, Final
 
 from .group_plan import (
-    lay_out,
+    assign_ranges,
     layers_by_memory,
-    most_layers,
+    max_layers,
     plan_group,
     requests_per_second,
 )
-from .layer_coverage import LayerCoverage, slowness
+from .layer_coverage import LayerCoverage, card_step_factor
 from .link_load import NEW_REQUEST_LIMIT, transfer_seconds
 from .placed_engine import PlacedEngine
 
@@ -26,31 +26,31 @@
 
     from ..model.registration import Holding
     from ..model.traffic import EngineProfile
-    from .group_plan import PlanShapes
+    from .group_plan import PlanCache
 
 
-PART_ENGINES: Final = 48
-"""Most engines that are planned together: 0.2 s of a core, a third of the silence after which a
+MAX_PART_ENGINES: Final = 48
+"""Most engines that are planned joint_rate: 0.2 s of a core, a third of the silence after which a
 leader is replaced."""
 
-CROSSINGS_EXPECTED: Final = 2.0
+EXPECTED_INTER_DOMAIN_HOPS: Final = 2.0
 """Links that a path passes in a group of several failure domains: to another one and back."""
 
 
 def plan_placement(
     profile: EngineProfile,
     engines: Sequence[PlacedEngine],
-    leaving: Sequence[PlacedEngine] = (),
-    shapes: PlanShapes | None = None,
+    draining: Sequence[PlacedEngine] = (),
+    cache: PlanCache | None = None,
 ) -> dict[str, Holding]:
     """Choose layers for the engines that hold none; the others keep theirs.
 
     Args:
         profile: Figures of the engines.
         engines: Engines of the pool that take new work.
-        leaving: Engines that leave. One with the same card in the same failure domain that holds
+        draining: Engines that leave. One with the same card in the same failure domain that holds
             nothing is likely the replacement, and takes over the layers.
-        shapes: Plans that were made for the same profile.
+        cache: Plans that were made for the same profile.
 
     Returns:
         Layers by engine, for those that held none and get some: replacements first, then by card,
@@ -60,12 +60,12 @@
     for engine in engines:
         if engine.holding is not None:
             coverage.add(engine, engine.holding)
-    chosen = _successors(engines, leaving)
+    chosen = _inherit_holdings(engines, draining)
     for engine in engines:
         if engine.instance in chosen:
             coverage.add(engine, chosen[engine.instance])
     for members in group_engines(profile, engines):
-        chosen |= _plan_members(profile, members, chosen, coverage, shapes)
+        chosen |= _plan_group_members(profile, members, chosen, coverage, cache)
     return chosen
 
 
@@ -78,9 +78,9 @@
     planned like a failure domain of its size.
 
     Returns:
-        The parts; the group alone if it is small or serves already: newcomers fill its gaps then.
+        The parts; the group separate_rate if it is small or serves already: newcomers fill its gaps then.
     """
-    count = -(-len(engines) // PART_ENGINES)
+    count = -(-len(engines) // MAX_PART_ENGINES)
     if count <= 1 or any(item.holding is not None for item in engines):
         return [list(engines)]
     ordered = sorted(engines, key=lambda item: (item.card, item.instance))
@@ -93,48 +93,52 @@
     """Divide engines into groups each of which is to hold the whole model.
 
     A failure domain that can hold it is a group by itself: it serves without handing activations
-    on to another, and goes on when it is cut off. All others together are one more. Where the
+    on to another, and goes on when it is cut off. All others joint_rate are one more. Where the
     failure domains could hold it only with next to no room for requests, all engines are one group:
     they carry what the links between failure domains do, and lose no copy with one engine.
     """
     by_domain: dict[str, list[PlacedEngine]] = {}
     for engine in engines:
-        if most_layers(profile, engine.card) > 0:
+        if max_layers(profile, engine.card) > 0:
             by_domain.setdefault(engine.failure_domain, []).append(engine)
     groups: list[list[PlacedEngine]] = []
-    rest: list[PlacedEngine] = []
-    alone = 0.0
+    remaining: list[PlacedEngine] = []
+    separate_rate = 0.0
     for _name, members in sorted(by_domain.items()):
         rate = requests_per_second(profile, members)
         if rate > 0.0:
             groups.append(members)
-            alone += rate
+            separate_rate += rate
         else:
-            rest += members
-    everybody = [item for members in by_domain.values() for item in members]
-    together = min(requests_per_second(profile, everybody), _link_rate(profile, len(by_domain)))
-    if groups and together > alone:
-        return [everybody]
-    return [*groups, rest] if rest else groups
+            remaining += members
+    all_engines = [item for members in by_domain.values() for item in members]
+    joint_rate = min(
+        requests_per_second(profile, all_engines), _link_request_rate(profile, len(by_domain))
+    )
+    if groups and joint_rate > separate_rate:
+        return [all_engines]
+    return [*groups, remaining] if remaining else groups
 
 
-def _link_rate(profile: EngineProfile, domains: int) -> float:
-    """Return how many requests a second the links between some failure domains carry together.
+def _link_request_rate(profile: EngineProfile, domains: int) -> float:
+    """Return how many requests a second the links between some failure domains carry joint_rate.
 
     Returns:
         0 if the width of the links is not known: nothing is built on them then.
     """
     seconds = transfer_seconds(profile, profile.usual_prompt)
     links = domains * (domains - 1) / 2
-    return NEW_REQUEST_LIMIT * links / (CROSSINGS_EXPECTED * seconds) if seconds > 0 else 0.0
+    return (
+        NEW_REQUEST_LIMIT * links / (EXPECTED_INTER_DOMAIN_HOPS * seconds) if seconds > 0 else 0.0
+    )
 
 
-def _plan_members(
+def _plan_group_members(
     profile: EngineProfile,
     members: Sequence[PlacedEngine],
     chosen: Mapping[str, Holding],
     coverage: LayerCoverage,
-    shapes: PlanShapes | None,
+    cache: PlanCache | None,
 ) -> dict[str, Holding]:
     """Choose layers for the members of a group that hold none.
 
@@ -145,37 +149,37 @@
         members: Engines of the group.
         chosen: Layers that were chosen already.
         coverage: What all layers carry; brought up to date with newcomers to a group that serves.
-        shapes: Plans that were made for the same profile.
+        cache: Plans that were made for the same profile.
 
     Returns:
         Layers by engine.
     """
     holdings = [item.holding or chosen.get(item.instance) for item in members]
-    empty = [item for item, held in zip(members, holdings, strict=True) if held is None]
+    empty = [item for item, holding in zip(members, holdings, strict=True) if holding is None]
     if len(empty) == len(members):
-        return plan_group(profile, empty, shapes)
+        return plan_group(profile, empty, cache)
     held_layers = sum(item.end - item.first for item in holdings if item is not None)
     memory = sum(
         profile.cards[item.card].memory_mb
-        for item, held in zip(members, holdings, strict=True)
-        if held is not None
+        for item, holding in zip(members, holdings, strict=True)
+        if holding is not None
     )
-    empty.sort(key=lambda item: (slowness(profile, item.card), item.instance))
+    empty.sort(key=lambda item: (card_step_factor(profile, item.card), item.instance))
     counts = [layers_by_memory(profile, item.card, held_layers / memory) for item in empty]
-    return lay_out(empty, counts, coverage)
+    return assign_ranges(empty, counts, coverage)
 
 
-def _successors(
-    engines: Sequence[PlacedEngine], leaving: Sequence[PlacedEngine]
+def _inherit_holdings(
+    engines: Sequence[PlacedEngine], draining: Sequence[PlacedEngine]
 ) -> dict[str, Holding]:
     """Give the layers of engines that leave to empty ones of the same kind and failure domain."""
     chosen: dict[str, Holding] = {}
-    taken = {(item.failure_domain, item.card, item.holding) for item in engines if item.holding}
-    for old in leaving:
+    occupied = {(item.failure_domain, item.card, item.holding) for item in engines if item.holding}
+    for old in draining:
         if old.holding is None:
             continue
-        place = (old.failure_domain, old.card, old.holding)
-        if place in taken:
+        key = (old.failure_domain, old.card, old.holding)
+        if key in occupied:
             continue
         new = next(
             (
@@ -189,7 +193,7 @@
         )
         if new is not None:
             chosen[new.instance] = old.holding
-            taken.add(place)
+            occupied.add(key)
     return chosen
 
 
--- a/src/ledgeladder/routing/placement_repair.py
+++ b/src/ledgeladder/routing/placement_repair.py
@@ -15,8 +15,8 @@
 from typing import TYPE_CHECKING, Final
 
 from ..model.registration import Holding
-from .group_plan import most_layers, plan_worth, share_out
-from .layer_coverage import requests_beside
+from .group_plan import divide_layers, max_layers, plan_score
+from .layer_coverage import request_capacity
 from .placement import group_engines, missing_layers
 
 if TYPE_CHECKING:
@@ -25,14 +25,14 @@
     from ..model.traffic import EngineProfile
     from .placed_engine import PlacedEngine
 
-MOVES_LIMIT: Final = 6
+MAX_MOVES: Final = 6
 """Most engines that close one gap before all are shifted instead."""
 
-KEPT_ROOM: Final = 0.25
-"""Share of the mean room for requests that an engine must keep when it takes more layers. The
+MIN_CAPACITY_SHARE: Final = 0.25
+"""Share of the mean capacity for requests that an engine must keep when it takes more layers. The
 failure domain then carries a quarter of what it did at the least, where it carried nothing."""
 
-COPIES_TRIED: Final = (1.0, 1.1, 1.25, 1.5, 2.0)
+COPY_COUNTS: Final = (1.0, 1.1, 1.25, 1.5, 2.0)
 """Numbers of copies of the model that are tried when all engines of a group shift."""
 
 Move = tuple["PlacedEngine", Holding]
@@ -47,90 +47,90 @@
         engines: Engines that are up, with what they hold or were ordered to hold.
 
     Returns:
-        Engines with their new layers, each once; empty if nothing is lacking or nothing can be
+        Engines with their new layers, each once; empty if nothing is missing or nothing can be
         done. If a layer is held nowhere and no group can be made whole, all engines together are
         made so.
     """
-    if _each_domain_is_whole(profile, engines):
+    if _all_domains_complete(profile, engines):
         return []
     moves: list[Move] = []
     for group in group_engines(profile, engines):
         moves += _repair_group(profile, group)
     if not moves and missing_layers(profile, _holdings(engines)):
-        moves = _close_gaps(profile, engines)
+        moves = _fill_gaps(profile, engines)
     return moves
 
 
-def _each_domain_is_whole(profile: EngineProfile, engines: Iterable[PlacedEngine]) -> bool:
+def _all_domains_complete(profile: EngineProfile, engines: Iterable[PlacedEngine]) -> bool:
     """Tell whether no failure domain lacks a layer, so that no group does, however they are formed.
 
-    This is how most looks end, and takes a tenth of the time that forming the groups does: 0.8 ms
+    This is how limit looks end, and takes a tenth of the time that forming the groups does: 0.8 ms
     over 600 engines in place of 11 ms.
     """
-    able = {card for card in profile.cards if most_layers(profile, card) > 0}
+    capable = {card for card in profile.cards if max_layers(profile, card) > 0}
     held: dict[str, list[Holding]] = {}
     for item in engines:
-        if item.card in able:
+        if item.card in capable:
             held.setdefault(item.failure_domain, []).extend(_holdings([item]))
     return not any(missing_layers(profile, holdings) for holdings in held.values())
 
 
 def _repair_group(profile: EngineProfile, group: Sequence[PlacedEngine]) -> list[Move]:
     """Choose the moves after which a group holds all layers; empty if there are none."""
-    lacking = missing_layers(profile, _holdings(group))
-    if not lacking or len(lacking) == profile.layers:
+    missing = missing_layers(profile, _holdings(group))
+    if not missing or len(missing) == profile.layers:
         return []
-    return _close_gaps(profile, group) or _shift_all(profile, group)
+    return _fill_gaps(profile, group) or _reassign_all(profile, group)
 
 
-def _close_gaps(profile: EngineProfile, group: Sequence[PlacedEngine]) -> list[Move]:
+def _fill_gaps(profile: EngineProfile, group: Sequence[PlacedEngine]) -> list[Move]:
     """Choose a few engines that take the missing layers.
 
     Returns:
-        The moves; empty if the group lacks layers after `MOVES_LIMIT` of them.
+        The moves; empty if the group lacks layers after `MAX_MOVES` of them.
     """
-    present = {item.instance: item.holding for item in group if item.holding is not None}
-    least_room = KEPT_ROOM * _mean_room(profile, group)
+    holdings = {item.instance: item.holding for item in group if item.holding is not None}
+    min_capacity = MIN_CAPACITY_SHARE * _mean_capacity(profile, group)
     moved: dict[str, Move] = {}
-    lacking = missing_layers(profile, present.values())
-    while lacking and len(moved) < MOVES_LIMIT:
-        gap = _first_gap(lacking)
+    missing = missing_layers(profile, holdings.values())
+    while missing and len(moved) < MAX_MOVES:
+        gap = _first_gap(missing)
         best: tuple[tuple[int, float], Move] | None = None
         for engine in group:
-            held = present.get(engine.instance)
-            if held is None or not engine.settled or engine.instance in moved:
+            held = holdings.get(engine.instance)
+            if held is None or not engine.is_loaded or engine.instance in moved:
                 continue
-            for holding in _reaching(profile, engine, held, gap):
-                room = requests_beside(profile, engine.card, holding.end - holding.first)
-                if room < least_room:
+            for holding in _candidate_ranges(profile, engine, held, gap):
+                capacity = request_capacity(profile, engine.card, holding.end - holding.first)
+                if capacity < min_capacity:
                     continue
-                trial = present | {engine.instance: holding}
+                trial = holdings | {engine.instance: holding}
                 left = len(missing_layers(profile, trial.values()))
-                if left >= len(lacking):
+                if left >= len(missing):
                     continue
-                worth = 0.0 if left else plan_worth(profile, _holders(group, trial), trial)
-                rank = (-left, worth or room)
+                score = 0.0 if left else plan_score(profile, _holders(group, trial), trial)
+                rank = (-left, score or capacity)
                 if best is None or rank > best[0]:
                     best = rank, (engine, holding)
         if best is None:
             return []
         engine, holding = best[1]
         moved[engine.instance] = best[1]
-        present[engine.instance] = holding
-        lacking = missing_layers(profile, present.values())
-    return [] if lacking else list(moved.values())
+        holdings[engine.instance] = holding
+        missing = missing_layers(profile, holdings.values())
+    return [] if missing else list(moved.values())
 
 
-def _reaching(
+def _candidate_ranges(
     profile: EngineProfile, engine: PlacedEngine, held: Holding, gap: Holding
 ) -> Iterator[Holding]:
     """Yield the ranges with which an engine would hold layers of a gap.
 
     It reaches on from its own layers if the gap is next to them, or moves to the gap.
     """
-    most = most_layers(profile, engine.card)
+    limit = max_layers(profile, engine.card)
     count = held.end - held.first
-    for extra in range(1, min(most - count, gap.end - gap.first) + 1):
+    for extra in range(1, min(limit - count, gap.end - gap.first) + 1):
         if held.first <= gap.first <= held.end:
             yield Holding(first=held.first, end=max(held.end, gap.first + extra))
         if held.first <= gap.end <= held.end:
@@ -141,34 +141,34 @@
     yield Holding(first=end - count, end=end)
 
 
-def _shift_all(profile: EngineProfile, group: Sequence[PlacedEngine]) -> list[Move]:
-    """Lay the engines of a group along the layers anew, in their present order.
+def _reassign_all(profile: EngineProfile, group: Sequence[PlacedEngine]) -> list[Move]:
+    """Lay the engines of a group along the layers anew, in their holdings order.
 
     Returns:
         The engines whose layers change; empty if an engine is still about to load, or if the group
         cannot hold all layers any more.
     """
-    if not all(item.settled for item in group):
+    if not all(item.is_loaded for item in group):
         return []
-    able = [item for item in group if most_layers(profile, item.card) > 0]
-    able.sort(key=lambda item: (_start(item), item.instance))
-    cards = [item.card for item in able]
+    capable = [item for item in group if max_layers(profile, item.card) > 0]
+    capable.sort(key=lambda item: (_first_layer(item), item.instance))
+    cards = [item.card for item in capable]
     best: dict[str, Holding] = {}
-    best_worth = 0.0
-    for copies in COPIES_TRIED:
-        counts = share_out(profile, cards, round(copies * profile.layers))
-        chosen = _lay_in_order(profile, able, counts)
-        worth = plan_worth(profile, able, chosen) if chosen else 0.0
-        if worth > best_worth:
-            best, best_worth = chosen, worth
+    best_score = 0.0
+    for copies in COPY_COUNTS:
+        counts = divide_layers(profile, cards, round(copies * profile.layers))
+        chosen = _assign_in_order(profile, capable, counts)
+        score = plan_score(profile, capable, chosen) if chosen else 0.0
+        if score > best_score:
+            best, best_score = chosen, score
     return [
         (item, best[item.instance])
-        for item in able
+        for item in capable
         if item.instance in best and best[item.instance] != item.holding
     ]
 
 
-def _lay_in_order(
+def _assign_in_order(
     profile: EngineProfile, engines: Sequence[PlacedEngine], counts: Sequence[int]
 ) -> dict[str, Holding]:
     """Give engines ranges one after the other, overlapping evenly where they hold more than all.
@@ -189,28 +189,28 @@
     return chosen
 
 
-def _start(engine: PlacedEngine) -> int:
+def _first_layer(engine: PlacedEngine) -> int:
     return engine.holding.first if engine.holding is not None else 0
 
 
-def _first_gap(lacking: Sequence[int]) -> Holding:
+def _first_gap(missing: Sequence[int]) -> Holding:
     """Return the first run of missing layers; there must be one."""
-    end = lacking[0]
-    for layer in lacking:
+    end = missing[0]
+    for layer in missing:
         if layer != end:
             break
         end += 1
-    return Holding(first=lacking[0], end=end)
+    return Holding(first=missing[0], end=end)
 
 
-def _mean_room(profile: EngineProfile, group: Iterable[PlacedEngine]) -> float:
-    """Return the requests for which an engine of a group has room, in the mean."""
-    rooms = [
-        requests_beside(profile, item.card, item.holding.end - item.holding.first)
+def _mean_capacity(profile: EngineProfile, group: Iterable[PlacedEngine]) -> float:
+    """Return the requests for which an engine of a group has capacity, in the mean."""
+    capacities = [
+        request_capacity(profile, item.card, item.holding.end - item.holding.first)
         for item in group
         if item.holding is not None
     ]
-    return sum(rooms) / max(1, len(rooms))
+    return sum(capacities) / max(1, len(capacities))
 
 
 def _holders(group: Iterable[PlacedEngine], holdings: dict[str, Holding]) -> list[PlacedEngine]:
--- a/tests/routing/sample_site.py
+++ b/tests/routing/sample_site.py
@@ -59,7 +59,7 @@
     ]
 
 
-def settled_fleet() -> list[PlacedEngine]:
+def placed_fleet() -> list[PlacedEngine]:
     """Return the engines of the site with the layers of the first plan."""
     engines = fleet()
     return placed(engines, plan_placement(PROFILE, engines))
--- a/tests/routing/test_group_plan.py
+++ b/tests/routing/test_group_plan.py
@@ -11,15 +11,15 @@
 from ledgeladder.model.traffic import CardKind
 from ledgeladder.routing import group_plan
 from ledgeladder.routing.group_plan import (
-    most_layers,
+    divide_layers,
+    max_layers,
     plan_group,
     requests_per_second,
-    share_out,
 )
-from ledgeladder.routing.layer_coverage import requests_beside
+from ledgeladder.routing.layer_coverage import request_capacity
 from ledgeladder.routing.placed_engine import PlacedEngine
 from ledgeladder.routing.placement import (
-    PART_ENGINES,
+    MAX_PART_ENGINES,
     group_engines,
     missing_layers,
     plan_placement,
@@ -45,7 +45,7 @@
 """Cards of which the smallest holds eight layers with room for six requests beside them."""
 
 
-def engines(domain: str, **counts: int) -> list[PlacedEngine]:
+def make_engines(domain: str, **counts: int) -> list[PlacedEngine]:
     return [
         PlacedEngine(
             instance=f"{domain}-{card}-{number}", failure_domain=domain, card=card, holding=None
@@ -56,60 +56,60 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_the_least_room_is_as_large_as_it_can_be(seed: int) -> None:
+def test_minimum_capacity_is_maximal(seed: int) -> None:
     rng = random.Random(seed)
     cards = rng.choices(sorted(CARDS), k=rng.randrange(3, 15))
     layers = rng.randrange(len(cards), 160)
-    counts = share_out(SMALL, cards, layers)
-    assert sum(counts) == min(layers, sum(most_layers(SMALL, card) for card in cards))
-    rooms = [requests_beside(SMALL, card, n) for card, n in zip(cards, counts, strict=True)]
-    narrowest = rooms.index(min(rooms))
+    counts = divide_layers(SMALL, cards, layers)
+    assert sum(counts) == min(layers, sum(max_layers(SMALL, card) for card in cards))
+    capacities = [request_capacity(SMALL, card, n) for card, n in zip(cards, counts, strict=True)]
+    narrowest = capacities.index(min(capacities))
     for index, (card, count) in enumerate(zip(cards, counts, strict=True)):
-        if index == narrowest or count >= most_layers(SMALL, card) or counts[narrowest] == 1:
+        if index == narrowest or count >= max_layers(SMALL, card) or counts[narrowest] == 1:
             continue
         # A layer less where there is least room, and one more elsewhere, would not help.
-        assert requests_beside(SMALL, card, count + 1) <= rooms[narrowest] + 1e-9
+        assert request_capacity(SMALL, card, count + 1) <= capacities[narrowest] + 1e-9
 
 
-def test_one_copy_on_few_engines_leaves_room_for_requests() -> None:
+def test_single_copy_on_few_engines_leaves_request_capacity() -> None:
     """In proportion to memory the smallest cards would hold eight layers and be full with six."""
-    members = engines("a", fast=2, middle=2, slow=3)
+    members = make_engines("a", fast=2, middle=2, slow=3)
     chosen = plan_group(SMALL, members)
     assert missing_layers(SMALL, chosen.values()) == []
-    rooms = [
-        requests_beside(SMALL, item.card, chosen[item.instance].end - chosen[item.instance].first)
+    capacities = [
+        request_capacity(SMALL, item.card, chosen[item.instance].end - chosen[item.instance].first)
         for item in members
     ]
-    assert min(rooms) > 15
+    assert min(capacities) > 15
 
 
 def test_group_that_cannot_hold_the_model_still_gets_layers() -> None:
-    members = engines("a", fast=1)
+    members = make_engines("a", fast=1)
     chosen = plan_group(SMALL, members)
     assert chosen[members[0].instance].end > 0
 
 
-def test_each_failure_domain_that_has_room_is_a_group() -> None:
-    site = engines("a", fast=2, middle=5, slow=8) + engines("b", fast=1, middle=7, slow=5)
+def test_each_failure_domain_with_capacity_is_a_group() -> None:
+    site = make_engines("a", fast=2, middle=5, slow=8) + make_engines("b", fast=1, middle=7, slow=5)
     assert [len(group) for group in group_engines(SMALL, site)] == [15, 13]
 
 
-def test_failure_domains_with_next_to_no_room_are_one_group() -> None:
+def test_failure_domains_with_little_capacity_form_one_group() -> None:
     """Together they carry what the links do, which is more, and lose no copy with one engine."""
-    site = engines("a", fast=4) + engines("b", fast=4) + engines("c", fast=4)
+    site = make_engines("a", fast=4) + make_engines("b", fast=4) + make_engines("c", fast=4)
     crowded = msgspec.structs.replace(SMALL, layer_mb=1785.0)
     alone = requests_per_second(crowded, site[:4])
     assert 0 < 3 * alone < 22
     assert [len(group) for group in group_engines(crowded, site)] == [12]
 
 
-def test_nothing_is_built_on_links_of_unknown_width() -> None:
-    site = engines("a", fast=4) + engines("b", fast=4) + engines("c", fast=4)
+def test_groups_do_not_rely_on_links_of_unknown_bandwidth() -> None:
+    site = make_engines("a", fast=4) + make_engines("b", fast=4) + make_engines("c", fast=4)
     unknown = msgspec.structs.replace(SMALL, layer_mb=1785.0, pipe_bytes_per_s=0.0)
     assert [len(group) for group in group_engines(unknown, site)] == [4, 4, 4]
 
 
-def test_thousands_of_engines_are_planned_in_parts_that_share_plans(
+def test_large_groups_are_planned_in_parts_that_share_plans(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The load of a start of 300 boxes: 1,110 engines in a failure domain.
@@ -117,36 +117,36 @@
     A plan at one go took 12 s, in which the leader sent no heartbeats. Counted is how often engines
     are laid out, since a plan tries several numbers of copies: once for each mix of cards.
     """
-    laid_out: list[int] = []
+    planned: list[int] = []
     plan = group_plan._best_plan
     monkeypatch.setattr(
-        group_plan, "_best_plan", lambda *args: laid_out.append(len(args[1])) or plan(*args)
+        group_plan, "_best_plan", lambda *args: planned.append(len(args[1])) or plan(*args)
     )
-    fleet = engines("a", fast=60, middle=390, slow=660)
+    fleet = make_engines("a", fast=60, middle=390, slow=660)
     parts = split_group(fleet)
     assert sorted(item.instance for part in parts for item in part) == sorted(
         item.instance for item in fleet
     )
-    assert max(map(len, parts)) <= PART_ENGINES
-    shapes: group_plan.PlanShapes = {}
+    assert max(map(len, parts)) <= MAX_PART_ENGINES
+    cache: group_plan.PlanCache = {}
     for part in parts:
-        chosen = plan_placement(SMALL, part, (), shapes)
+        chosen = plan_placement(SMALL, part, (), cache)
         assert not missing_layers(SMALL, chosen.values())
     # Each of three kinds of cards may be dealt out with one more or one less.
-    assert len(laid_out) <= 4
-    assert max(laid_out) <= PART_ENGINES
+    assert len(planned) <= 4
+    assert max(planned) <= MAX_PART_ENGINES
 
 
-def test_small_groups_and_groups_that_serve_are_planned_whole() -> None:
-    small = engines("a", fast=2, middle=13, slow=22)
+def test_small_and_serving_groups_are_not_split() -> None:
+    small = make_engines("a", fast=2, middle=13, slow=22)
     assert split_group(small) == [small]
-    large = engines("a", slow=PART_ENGINES + 1)
+    large = make_engines("a", slow=MAX_PART_ENGINES + 1)
     assert len(split_group(large)) == 2
     served = msgspec.structs.replace(large[0], holding=Holding(first=0, end=8))
     assert split_group([served, *large[1:]]) == [[served, *large[1:]]]
 
 
-def test_memory_beyond_the_slots_holds_more_copies() -> None:
+def test_memory_beyond_the_slots_is_used_for_more_copies() -> None:
     """Small answers fill the slots of an engine before its KV cache.
 
     The grounds: 37 engines of which 22 have room for seven layers and 96 requests beside them. With
@@ -155,7 +155,7 @@
     small = msgspec.structs.replace(
         SMALL, kv_token_bytes=328_000, sequence_ms=0.002, usual_prompt=726, usual_answer=138
     )
-    fleet = engines("a", fast=2, middle=13, slow=22)
+    fleet = make_engines("a", fast=2, middle=13, slow=22)
     plans = {}
     for slots in (0, 96):
         profile = msgspec.structs.replace(small, slots=slots)
@@ -164,6 +164,6 @@
     assert held[96] > 1.5 * held[0]
     for item in fleet:
         holding = plans[96][item.instance]
-        assert requests_beside(small, item.card, holding.end - holding.first) >= 80
+        assert request_capacity(small, item.card, holding.end - holding.first) >= 80
     fast = plans[96]["a-fast-0"]
     assert fast.end - fast.first >= 16
--- a/tests/routing/test_paths.py
+++ b/tests/routing/test_paths.py
@@ -39,13 +39,13 @@
 )
 from ledgeladder.routing.upstream_wishes import ask_rest
 
-from .sample_site import CARDS, DOMAINS, PROFILE, settled_fleet
+from .sample_site import CARDS, DOMAINS, PROFILE, placed_fleet
 
 
 def make_engines(now: float = 0.0) -> list[ForwardedUpstream]:
     """Return the engines of the site with the layers of the first plan, last seen at a time."""
     made = []
-    for item in settled_fleet():
+    for item in placed_fleet():
         assert item.holding is not None
         registration = Registration(
             instance=item.instance,
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -7,11 +7,11 @@
 import msgspec
 
 from ledgeladder.model.traffic import CardKind
-from ledgeladder.routing.group_plan import most_layers
+from ledgeladder.routing.group_plan import max_layers
 from ledgeladder.routing.placed_engine import PlacedEngine
 from ledgeladder.routing.placement import missing_layers, plan_placement
 
-from .sample_site import CARDS, DOMAINS, PROFILE, fleet, requests_by_layer, settled_fleet
+from .sample_site import CARDS, DOMAINS, PROFILE, fleet, placed_fleet, requests_by_layer
 
 
 def test_every_failure_domain_holds_a_whole_copy() -> None:
@@ -24,47 +24,49 @@
         assert missing_layers(PROFILE, held) == []
 
 
-def test_no_engine_is_given_more_than_its_card_holds() -> None:
+def test_no_engine_gets_more_layers_than_its_card_holds() -> None:
     for instance, holding in plan_placement(PROFILE, fleet()).items():
         card = CARDS[instance.split("-")[1]]
         assert (holding.end - holding.first) * PROFILE.layer_mb <= card.memory_mb
         assert 0 <= holding.first < holding.end <= PROFILE.layers
 
 
-def test_engines_that_hold_layers_keep_them_and_a_newcomer_is_placed() -> None:
-    settled = settled_fleet()
-    lost, rest = settled[3], settled[:3] + settled[4:]
-    newcomer = PlacedEngine(
+def test_engines_keep_their_layers_when_a_new_one_is_placed() -> None:
+    placed = placed_fleet()
+    lost, rest = placed[3], placed[:3] + placed[4:]
+    new_engine = PlacedEngine(
         instance="new", failure_domain=lost.failure_domain, card=lost.card, holding=None
     )
-    chosen = plan_placement(PROFILE, [*rest, newcomer])
+    chosen = plan_placement(PROFILE, [*rest, new_engine])
     assert set(chosen) == {"new"}
 
 
 def test_unknown_card_and_too_small_card_get_nothing() -> None:
-    assert most_layers(PROFILE, "unknown") == 0
+    assert max_layers(PROFILE, "unknown") == 0
     tiny = CardKind(name="tiny", memory_mb=1000, step_factor=1, read_factor=1)
     profile = msgspec.structs.replace(PROFILE, cards={"tiny": tiny})
     engine = PlacedEngine(instance="x", failure_domain="a", card="tiny", holding=None)
     assert plan_placement(profile, [engine]) == {}
 
 
-def test_no_layer_carries_much_less_than_the_others() -> None:
+def test_capacity_is_balanced_over_layers() -> None:
     """A path is as wide as its narrowest layer."""
     engines = fleet()
     carried = requests_by_layer(engines, plan_placement(PROFILE, engines))
     assert min(carried) >= 0.6 * sum(carried) / PROFILE.layers
 
 
-def test_replacement_takes_over_the_layers_of_the_engine_that_leaves() -> None:
-    settled = settled_fleet()
-    old = next(item for item in settled if item.card == "middle" and item.failure_domain == "b")
-    rest = [item for item in settled if item is not old]
+def test_replacement_inherits_layers_of_draining_engine() -> None:
+    placed = placed_fleet()
+    old = next(item for item in placed if item.card == "middle" and item.failure_domain == "b")
+    rest = [item for item in placed if item is not old]
     new = PlacedEngine(instance="new", failure_domain="b", card="middle", holding=None)
     other = PlacedEngine(instance="other", failure_domain="a", card="middle", holding=None)
     chosen = plan_placement(PROFILE, [*rest, other, new], [old])
     assert chosen["new"] == old.holding
     # Once it holds them, the next one of the kind is placed where layers are needed.
-    heir = PlacedEngine(instance="new", failure_domain="b", card="middle", holding=old.holding)
+    replacement = PlacedEngine(
+        instance="new", failure_domain="b", card="middle", holding=old.holding
+    )
     next_one = PlacedEngine(instance="next", failure_domain="b", card="middle", holding=None)
-    assert set(plan_placement(PROFILE, [*rest, heir, next_one], [old])) == {"next"}
+    assert set(plan_placement(PROFILE, [*rest, replacement, next_one], [old])) == {"next"}
--- a/tests/routing/test_placement_repair.py
+++ b/tests/routing/test_placement_repair.py
@@ -9,28 +9,28 @@
 import pytest
 
 from ledgeladder.model.registration import Holding
-from ledgeladder.routing.group_plan import layers_by_memory, most_layers
-from ledgeladder.routing.layer_coverage import requests_beside
+from ledgeladder.routing.group_plan import layers_by_memory, max_layers
+from ledgeladder.routing.layer_coverage import request_capacity
 from ledgeladder.routing.placed_engine import PlacedEngine
 from ledgeladder.routing.placement import missing_layers
-from ledgeladder.routing.placement_repair import KEPT_ROOM, MOVES_LIMIT, plan_repairs
+from ledgeladder.routing.placement_repair import MAX_MOVES, MIN_CAPACITY_SHARE, plan_repairs
 
-from .sample_site import CARDS, DOMAINS, PROFILE, requests_by_layer, settled_fleet
+from .sample_site import CARDS, DOMAINS, PROFILE, placed_fleet, requests_by_layer
 
 
-def test_repair_moves_spare_engines_of_the_same_failure_domain() -> None:
-    settled = settled_fleet()
-    assert plan_repairs(PROFILE, settled) == []
+def test_repair_moves_engines_of_the_same_failure_domain() -> None:
+    placed = placed_fleet()
+    assert plan_repairs(PROFILE, placed) == []
     moves = 0
-    whole = 0
+    completed = 0
     # Take two engines of domain a away at a time; some losses leave layers without a holder there.
-    members = [item for item in settled if item.failure_domain == "a"]
+    members = [item for item in placed if item.failure_domain == "a"]
     for lost in itertools.combinations(members, 2):
-        rest = [item for item in settled if item not in lost]
+        rest = [item for item in placed if item not in lost]
         own = [item.holding for item in rest if item.failure_domain == "a" and item.holding]
-        lacking = missing_layers(PROFILE, own)
+        missing = missing_layers(PROFILE, own)
         repairs = plan_repairs(PROFILE, rest)
-        if not lacking or not repairs:
+        if not missing or not repairs:
             continue
         moves += len(repairs)
         spares = [spare for spare, _holding in repairs]
@@ -41,19 +41,19 @@
         others = [item.holding for item in kept if item.holding]
         in_domain = [item.holding for item in kept if item.failure_domain == "a" and item.holding]
         assert missing_layers(PROFILE, others) == []
-        if len(repairs) <= MOVES_LIMIT:
+        if len(repairs) <= MAX_MOVES:
             for holding in moved:
-                assert set(range(holding.first, holding.end)) & set(lacking)
+                assert set(range(holding.first, holding.end)) & set(missing)
         left = missing_layers(PROFILE, [*in_domain, *moved])
-        assert len(left) < len(lacking)
-        # What the domain still held is not given up for what it lacked.
-        assert set(left) <= set(lacking)
-        whole += not left
+        assert len(left) < len(missing)
+        # What the domain still held is not given up for what it missing_in_domain.
+        assert set(left) <= set(missing)
+        completed += not left
     assert moves
-    assert whole
+    assert completed
 
 
-def lacked(engines: list[PlacedEngine], domain: str) -> list[int]:
+def missing_in_domain(engines: list[PlacedEngine], domain: str) -> list[int]:
     """Return the layers that a failure domain lacks."""
     held = [item.holding for item in engines if item.failure_domain == domain and item.holding]
     return missing_layers(PROFILE, held)
@@ -68,53 +68,55 @@
     ]
 
 
-def test_lost_fast_engine_is_replaced_by_several_others_at_once() -> None:
-    settled = settled_fleet()
-    most = 0
-    for lost in itertools.combinations([item for item in settled if item.card == "fast"], 2):
-        rest = [item for item in settled if item not in lost]
-        most = max(most, len(plan_repairs(PROFILE, rest)))
-    assert most >= 2
+def test_lost_fast_engines_are_replaced_by_several_others() -> None:
+    placed = placed_fleet()
+    max_moves = 0
+    for lost in itertools.combinations([item for item in placed if item.card == "fast"], 2):
+        rest = [item for item in placed if item not in lost]
+        max_moves = max(max_moves, len(plan_repairs(PROFILE, rest)))
+    assert max_moves >= 2
 
 
 @pytest.mark.parametrize("count", [2, 4, 6])
-def test_every_failure_domain_whose_memory_is_enough_is_whole_after_one_round(count: int) -> None:
-    settled = settled_fleet()
-    short = 0
+def test_domain_with_enough_memory_is_complete_after_one_round(count: int) -> None:
+    placed = placed_fleet()
+    incomplete = 0
     for seed in range(100):
-        rest = random.Random(seed).sample(settled, len(settled) - count)
+        rest = random.Random(seed).sample(placed, len(placed) - count)
         after = repaired(rest)
         for domain in DOMAINS:
             cards = [item.card for item in rest if item.failure_domain == domain]
-            if sum(most_layers(PROFILE, card) for card in cards) < PROFILE.layers:
+            if sum(max_layers(PROFILE, card) for card in cards) < PROFILE.layers:
                 continue
-            short += bool(lacked(rest, domain))
-            assert lacked(after, domain) == []
-    assert short > 0
+            incomplete += bool(missing_in_domain(rest, domain))
+            assert missing_in_domain(after, domain) == []
+    assert incomplete > 0
 
 
-def test_what_closes_a_gap_opens_no_other_and_keeps_room_for_requests() -> None:
-    settled = settled_fleet()
+def test_repair_opens_no_new_gap_and_keeps_request_capacity() -> None:
+    placed = placed_fleet()
     for seed in range(100):
-        rest = random.Random(seed).sample(settled, len(settled) - 3)
+        rest = random.Random(seed).sample(placed, len(placed) - 3)
         for domain in DOMAINS:
             members = [item for item in rest if item.failure_domain == domain]
             moves = plan_repairs(PROFILE, members)
             if not moves or len(moves) > len(members) / 2:
                 # All of them shift, each to its part by memory.
                 continue
-            assert set(lacked(repaired(members), domain)) <= set(lacked(members, domain))
-            rooms = [
-                requests_beside(PROFILE, item.card, item.holding.end - item.holding.first)
+            assert set(missing_in_domain(repaired(members), domain)) <= set(
+                missing_in_domain(members, domain)
+            )
+            capacities = [
+                request_capacity(PROFILE, item.card, item.holding.end - item.holding.first)
                 for item in members
                 if item.holding
             ]
             for spare, holding in moves:
-                room = requests_beside(PROFILE, spare.card, holding.end - holding.first)
-                assert room >= KEPT_ROOM * sum(rooms) / len(rooms)
+                capacity = request_capacity(PROFILE, spare.card, holding.end - holding.first)
+                assert capacity >= MIN_CAPACITY_SHARE * sum(capacities) / len(capacities)
 
 
-def test_group_without_spare_engines_shifts_and_keeps_its_order() -> None:
+def test_group_without_spare_engines_is_reassigned_in_order() -> None:
     """One copy of the model on ten engines: the others close up when one is lost."""
     engines = [
         PlacedEngine(instance=f"s{number}", failure_domain="a", card="slow", holding=None)
@@ -128,28 +130,28 @@
     ]
     rest = held[:4] + held[5:]
     after = repaired(rest)
-    assert lacked(rest, "a") == list(range(32, 40))
-    assert lacked(after, "a") == []
+    assert missing_in_domain(rest, "a") == list(range(32, 40))
+    assert missing_in_domain(after, "a") == []
     starts = [item.holding.first for item in after if item.holding]
     assert starts == sorted(starts)
 
 
-def test_engine_that_has_not_reported_its_layers_is_not_moved() -> None:
+def test_loading_engine_is_not_moved() -> None:
     """It loads; another order to it is a conflict, and forgetting the first one begins it anew."""
-    settled = settled_fleet()
-    for lost in settled:
-        rest = [item for item in settled if item is not lost]
-        loading = [msgspec.structs.replace(item, settled=False) for item in rest]
+    placed = placed_fleet()
+    for lost in placed:
+        rest = [item for item in placed if item is not lost]
+        loading = [msgspec.structs.replace(item, is_loaded=False) for item in rest]
         assert plan_repairs(PROFILE, loading) == []
 
 
-def test_layers_that_lost_most_of_their_holders_everywhere_get_some_back() -> None:
-    settled = settled_fleet()
+def test_layer_with_few_holders_left_gains_capacity() -> None:
+    placed = placed_fleet()
     layer = 40
     holders = [
-        item for item in settled if item.holding and item.holding.first <= layer < item.holding.end
+        item for item in placed if item.holding and item.holding.first <= layer < item.holding.end
     ]
-    rest = [item for item in settled if item not in holders[:-1]]
+    rest = [item for item in placed if item not in holders[:-1]]
     before = {item.instance: item.holding for item in rest if item.holding}
     after = before | {spare.instance: holding for spare, holding in plan_repairs(PROFILE, rest)}
     assert requests_by_layer(rest, after)[layer] > requests_by_layer(rest, before)[layer]
@@ -158,11 +160,11 @@
 def test_no_engine_is_moved_twice_in_a_round() -> None:
     """The passes over failure domains and over all engines once chose the same one: two orders with
     different layers went to it side by side."""
-    settled = settled_fleet()
+    placed = placed_fleet()
     rounds = 0
     for seed in range(400):
         rng = random.Random(seed)
-        rest = rng.sample(settled, len(settled) - rng.randrange(1, 12))
+        rest = rng.sample(placed, len(placed) - rng.randrange(1, 12))
         spares = [spare.instance for spare, _holding in plan_repairs(PROFILE, rest)]
         rounds += bool(spares)
         assert len(set(spares)) == len(spares)
