--- a/src/ledgeladder/routing/chain.py
+++ b/src/ledgeladder/routing/chain.py
@@ -1,10 +1,10 @@
-"""Choosing a chain of engines that covers every layer of a model exactly once.
+"""Selection of a chain of engines that runs every layer of a model exactly once.
 
-Engines hold ranges that may overlap. A chain is built from the first layer on: at each boundary one
-of the engines that hold the next layer is chosen and runs up to the end of its range, so overlaps
-are cut and no layer runs twice. The choice is the better of two random candidates by expected work
-per unit of speed ("The Power of Two Choices in Randomized Load Balancing", Mitzenmacher, 2001),
-which keeps boxes that decide apart from herding onto the same engine.
+Engines hold ranges that may overlap. A chain is built from the first layer on: at each boundary,
+one of the engines that hold the next layer is selected and runs to the end of its range, so no
+layer runs twice. Of two random candidates, the one with less expected work per unit of speed is
+selected ("The Power of Two Choices in Randomized Load Balancing", Mitzenmacher, 2001), which keeps
+independent boxes from herding onto one engine.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
     from ..model import Pipeline
 
 EngineSelector = Callable[[Sequence[UpstreamView], int], UpstreamView]
-"""Chooses among the engines that hold a layer."""
+"""Selects one of the engines that hold a layer."""
 
 
 def expected_work(view: UpstreamView, first: int) -> float:
-    """Estimate how loaded an engine would be with one more request.
+    """Estimate the load of an engine with one more request.
 
     Args:
         view: The engine.
         first: First layer that it would run.
 
     Returns:
-        Layer steps per token in progress, over the engine's speed.
+        Layer steps per token in progress, divided by the engine's speed.
     """
     in_progress = max(view.in_flight, view.reported_load) + 1
     span = view.upstream.end_layer - first
@@ -41,7 +41,7 @@
 
 
 def better_of_two(rng: random.Random) -> EngineSelector:
-    """Return a choice of the less loaded of two random candidates, weighted by speed."""
+    """Return a selector of the less loaded of two random candidates, weighted by speed."""
 
     def select(candidates: Sequence[UpstreamView], first: int) -> UpstreamView:
         if len(candidates) == 1:
@@ -54,7 +54,7 @@
 
 
 def round_robin() -> EngineSelector:
-    """Return a choice that takes candidates in turn; a baseline for measurements."""
+    """Return a round-robin selector; a baseline for measurements."""
     turn = 0
 
     def select(candidates: Sequence[UpstreamView], first: int) -> UpstreamView:
@@ -66,7 +66,7 @@
 
 
 def least_loaded() -> EngineSelector:
-    """Return a choice of the engine with the least expected work; a baseline for measurements."""
+    """Return a selector of the engine with the least expected work; a baseline for measurements."""
 
     def select(candidates: Sequence[UpstreamView], first: int) -> UpstreamView:
         return min(candidates, key=lambda view: expected_work(view, first))
@@ -85,11 +85,11 @@
     """Return the engines that may take new work for a pipeline.
 
     Args:
-        table: What is known of upstreams.
+        table: The known upstreams.
         pipeline: The pipeline.
         now: Monotonic time.
-        allowed: Which upstreams the request may use.
-        within: Those count too that want work again within so many seconds.
+        allowed: Returns whether the request may use an upstream.
+        available_within: Also include engines whose back-off ends within this many seconds.
     """
     return [
         view
@@ -102,14 +102,14 @@
 
 
 def suffixes_covered(engines: Iterable[UpstreamView], layers: int) -> list[bool]:
-    """Tell from which layers on the rest can be covered.
+    """Determine for each layer whether a chain can run from there to the end.
 
     Args:
         engines: Engines that may be used.
         layers: Number of layers.
 
     Returns:
-        For each layer from 0 to `layers`, whether a chain from there to the end exists.
+        For each layer from 0 to `layers`, whether the layers from there on can be covered.
     """
     is_covered = [False] * layers + [True]
     ranges = [(view.upstream.first_layer, view.upstream.end_layer) for view in engines]
@@ -123,15 +123,15 @@
 def cover_span(
     engines: Sequence[UpstreamView], span: LayerSpan, select: EngineSelector
 ) -> tuple[Stage, ...] | None:
-    """Cover one span of layers by a chain of engines.
+    """Cover a span of layers with a chain of engines.
 
     Args:
         engines: Engines that may be used.
         span: Layers to cover.
-        select: Chooses among candidates.
+        select: Selects one of several candidates.
 
     Returns:
-        Stages in order, or None if some layer is held by no engine.
+        Stages in order, or None if no engine holds some layer.
     """
     is_covered = suffixes_covered(engines, span.end)
     stages: list[Stage] = []
@@ -174,10 +174,10 @@
     Args:
         engines: Engines that may be used.
         layers: Number of layers of the model.
-        select: Chooses among candidates.
+        select: Selects one of several candidates.
 
     Returns:
-        A route, or a problem that names the layers that nobody holds.
+        A route, or a problem that names the layers that no engine holds.
     """
     stages = cover_span(engines, LayerSpan(first=0, end=layers), select)
     if stages is not None:
@@ -190,19 +190,19 @@
 def replace_stages(
     route: Route, lost: frozenset[str], engines: Sequence[UpstreamView], select: EngineSelector
 ) -> Route | None:
-    """Replace the lost stages of a route and keep all others, with the state that they hold.
+    """Replace the lost stages of a route; the others keep their state.
 
     An engine that already runs a stage is not given a second one, since it keeps one state per
     request.
 
     Args:
-        route: The route in use.
-        lost: Names of the upstreams that were lost.
-        engines: Engines that may be used; those lost are passed over.
-        select: Chooses among candidates.
+        route: The current route.
+        lost: Names of the lost upstreams.
+        engines: Engines that may be used; lost ones are skipped.
+        select: Selects one of several candidates.
 
     Returns:
-        A route that covers the same layers, or None if nobody holds the lost ones.
+        A route that covers the same layers, or None if no engine holds the lost ones.
     """
     used = set(route.upstreams)
     stages: list[Stage] = []
@@ -220,7 +220,7 @@
 
 
 def _format_ranges(layers: Sequence[int]) -> str:
-    """Write a list of layers as ranges.
+    """Format a sorted list of layers as ranges.
 
     >>> _format_ranges([0, 1, 2, 7])
     '0-2, 7'
--- a/src/ledgeladder/routing/group_plan.py
+++ b/src/ledgeladder/routing/group_plan.py
@@ -1,8 +1,8 @@
-"""How much of the model a group of engines holds, and which engine holds which layers of it.
+"""Number of model copies that a group of engines holds, and the layers of each engine.
 
-The more copies a group holds, the more losses it survives, and the fewer requests fit beside the
-layers. Plans for several numbers of copies are laid out and judged by the requests a second that
-the group carries with all engines and with each single one lost.
+More copies survive more losses but leave less memory for requests. Plans for several numbers of
+copies are compared by the requests a second that the group serves with all engines and with each
+single one lost.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
     from .placed_engine import PlacedEngine
 
 COPIES_STEP: Final = 1.12
-"""Ratio between the numbers of copies that are tried: about one layer in ten more an engine."""
+"""Ratio between successive numbers of copies that are tried."""
 
 MIN_REQUESTS: Final = 1.0
-"""Requests of the usual size that an engine must have room for beside its layers."""
+"""Requests of the usual size that an engine must have capacity for beside its layers."""
 
 
 def max_layers(profile: EngineProfile, card: str) -> int:
-    """Return the limits layers that leave a card room for `MIN_REQUESTS`.
+    """Return the maximum number of layers that leave a card capacity for `MIN_REQUESTS`.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         card: Kind of the accelerator.
 
     Returns:
-        Number of layers; 0 if the kind is not known or not even one layer fits on it.
+        Number of layers; 0 if the kind is unknown or not even one layer fits.
     """
     kind = profile.cards.get(card)
     if kind is None or profile.layer_mb <= 0:
@@ -48,12 +48,12 @@
 
 
 def layers_by_memory(profile: EngineProfile, card: str, layers_per_mb: float) -> int:
-    """Return how many layers an engine is given where all get them in proportion to their memory.
+    """Return how many layers an engine gets if they are divided in proportion to memory.
 
-    All engines then have room for about as many requests, and none limits the others.
+    All engines then have about the same request capacity, and none limits the others.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         card: Kind of the accelerator.
         layers_per_mb: Layers for each megabyte of memory.
 
@@ -67,15 +67,16 @@
 
 
 def divide_layers(profile: EngineProfile, cards: Sequence[str], layers: int) -> list[int]:
-    """Divide layers among engines so that the one with the least room for requests has the limits.
+    """Divide layers among engines to maximize the minimum request capacity.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         cards: Kind of the accelerator of each engine.
         layers: Layers to divide, over all copies.
 
     Returns:
-        Layers for each engine; fewer in all than were to be divided if they hold no more.
+        Number of layers for each engine; their sum is less than `layers` if the engines hold no
+        more.
     """
     limits = [max_layers(profile, card) for card in cards]
     counts = [min(1, limit) for limit in limits]
@@ -96,14 +97,14 @@
 
 
 def requests_per_second(profile: EngineProfile, engines: Sequence[PlacedEngine]) -> float:
-    """Estimate how many requests a second some engines carry with one copy of the model.
+    """Estimate how many requests a second engines serve with one copy of the model.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         engines: The engines.
 
     Returns:
-        The rate; 0 if they cannot hold all layers with room for a request.
+        The rate; 0 if they cannot hold all layers with capacity for a request.
     """
     capable = [item.card for item in engines if max_layers(profile, item.card) > 0]
     counts = divide_layers(profile, capable, profile.layers)
@@ -116,8 +117,8 @@
 
 
 PlanCache = dict[tuple[str, ...], tuple["Holding", ...]]
-"""Plans that were made, by the cards of the group: the layers of each engine in the order of the
-cards. Groups with the same cards get the same plan, and it is worked out once."""
+"""Plans by the cards of a group: the layers of each engine, in the order of the cards. Groups with
+the same cards share a plan."""
 
 
 def plan_group(
@@ -125,12 +126,12 @@
     engines: Sequence[PlacedEngine],
     cache: PlanCache | None = None,
 ) -> dict[str, Holding]:
-    """Choose layers for a group of engines none of which holds any.
+    """Choose layers for a group of engines that hold none.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         engines: Engines that can hold at least one layer each.
-        cache: Plans that were made for the same profile; takes this one.
+        cache: Plans made for the same profile; this one is added.
 
     Returns:
         Layers by engine, the fast cards first.
@@ -147,10 +148,10 @@
 
 
 def _best_plan(profile: EngineProfile, ordered: Sequence[PlacedEngine]) -> dict[str, Holding]:
-    """Choose the best of several plans for engines in the order in which they are placed.
+    """Choose the best of several plans for engines in placement order.
 
-    Layers are divided evenly by the room that is left, and in proportion to memory: the first
-    leaves more room where parts are few layers each, the second more overlap between engines.
+    Layers are divided both by remaining request capacity and in proportion to memory: the former
+    leaves more capacity if each engine gets few layers, the latter more overlap between engines.
     """
     cards = [item.card for item in ordered]
     max_total = sum(max_layers(profile, card) for card in cards)
@@ -172,7 +173,7 @@
         total_layers *= COPIES_STEP
     if best:
         return best
-    # Too little for a copy: all that fits, for paths that cross to other groups.
+    # Too little memory for a copy: load all that fits, for paths that use other groups too.
     return assign_ranges(
         ordered, divide_layers(profile, cards, max_total), LayerCoverage(profile=profile)
     )
@@ -181,12 +182,12 @@
 def assign_ranges(
     engines: Sequence[PlacedEngine], counts: Sequence[int], coverage: LayerCoverage
 ) -> dict[str, Holding]:
-    """Place engines one after the other, each where its layers are needed limits.
+    """Assign ranges to engines one by one, each where its layers are needed most.
 
     Args:
-        engines: The engines, none of which holds layers, in the order in which they are placed.
-        counts: How many layers each of them gets.
-        coverage: What all layers carry; brought up to date with each engine.
+        engines: Engines that hold no layers, in placement order.
+        counts: Number of layers for each engine.
+        coverage: Capacity of each layer; updated with each engine.
 
     Returns:
         Layers by engine.
@@ -202,20 +203,19 @@
 def plan_score(
     profile: EngineProfile, engines: Sequence[PlacedEngine], holdings: Mapping[str, Holding]
 ) -> float:
-    """Judge a plan by the requests a second that the group carries, whole and after a loss.
+    """Score a plan by the requests a second that the group serves, complete and after a loss.
 
-    The state with all engines counts as much as the mean over the states with one of them lost,
-    which is right for a group that is short of an engine half of the time. Each doubling of the
-    rate counts the same, since the demand is not known when layers are first loaded: a group that
-    carries nothing after limits losses is worse than one that always carries half.
+    The state with all engines counts as much as the mean over the states with one engine lost.
+    Rates are compared on a logarithmic scale, since the demand is unknown when layers are first
+    loaded: a group that serves nothing after most losses is worse than one that always serves half.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         engines: The engines.
         holdings: Their layers.
 
     Returns:
-        A figure to compare plans for the same engines by; 0 if they lack a layer.
+        A score to compare plans for the same engines; 0 if a layer is missing.
     """
     capacities = {item.instance: 0.0 for item in engines}
     layer_capacity = [0.0] * profile.layers
@@ -241,7 +241,7 @@
 
 
 def _layer_seconds(profile: EngineProfile, card: str) -> float:
-    """Return the time that one layer takes of a request of the usual size, in seconds."""
+    """Return the time that a request of the usual size takes per layer, in seconds."""
     kind = profile.cards[card]
     steps = profile.step_ms / 1000.0 * profile.usual_answer * kind.step_factor
     read = profile.usual_prompt / max(1.0, profile.read_per_s) * kind.read_factor
--- a/src/ledgeladder/routing/layer_coverage.py
+++ b/src/ledgeladder/routing/layer_coverage.py
@@ -1,4 +1,4 @@
-"""What each layer of a model carries, by the KV caches and step times of its holders."""
+"""Capacity of each layer of a model, by the KV caches and step times of its holders."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
     from .placed_engine import PlacedEngine
 
 MEGABYTE: Final = 1e6
-"""Bytes of a megabyte, as cards and layers are measured."""
+"""Bytes of a megabyte, the unit of card memory and layer sizes."""
 
 DOMAIN_NEED_WEIGHT: Final = 10.0
-"""How much more a layer counts that its own failure domain lacks than one that all lack."""
+"""Weight of the need within the engine's own failure domain, relative to the need over all
+domains."""
 
 NEED_OFFSET: Final = 0.1
-"""Added to what a layer carries, so that one without any holder has a finite need."""
+"""Added to the capacity of a layer, so that the need of a layer without holders is finite."""
 
 NEED_EXPONENT: Final = 2
-"""How steeply the need of a layer falls with what it carries: steep enough that a layer with one
-holder goes before several that have two, and no more, since a range is placed by the sum over its
-layers."""
+"""How steeply the need for a layer falls with its capacity. A layer with one holder precedes
+several with two; a higher value would dominate the sum over a range."""
 
 MAX_REQUEST_CAPACITY: Final = 1e6
-"""Requests that an engine counts for where the size of a token's KV cache is not known."""
+"""Capacity of an engine, in requests, if the KV cache size of a token is unknown."""
 
 
 def card_step_factor(profile: EngineProfile, card: str) -> float:
-    """Return the step factor of a kind of card, or infinity for an unknown kind."""
+    """Return the step factor of a kind of card; infinity if the kind is unknown."""
     kind = profile.cards.get(card)
     return kind.step_factor if kind is not None else float("inf")
 
 
 def kv_capacity(profile: EngineProfile, card: str, layers: int) -> float:
-    """Return how many tokens x layers of KV cache fit beside the layers of an engine.
+    """Return the KV cache capacity that an engine has beside its layers, in tokens x layers.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         card: Kind of the accelerator.
         layers: Layers that it holds.
 
     Returns:
-        Tokens x layers; infinity if the kind or the size of a token is not known.
+        Tokens x layers; infinity if the kind or the size of a token is unknown.
     """
     kind = profile.cards.get(card)
     if kind is None or profile.kv_token_bytes <= 0:
@@ -55,17 +55,17 @@
 
 
 def usual_tokens(profile: EngineProfile) -> float:
-    """Return the tokens that a request of the usual size holds in the end."""
+    """Return the total tokens of a request of the usual size."""
     return max(1.0, profile.usual_prompt + profile.usual_answer)
 
 
 def request_capacity(profile: EngineProfile, card: str, layers: int) -> float:
-    """Return how many requests of the usual size an engine runs beside its layers.
+    """Return how many requests of the usual size an engine can run beside its layers.
 
-    Room in the KV cache beyond the slots is worth nothing, and is better used for more layers.
+    Limited by the slots: KV cache beyond them is better used for more layers.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         card: Kind of the accelerator.
         layers: Layers that it holds; at least one.
     """
@@ -74,33 +74,33 @@
 
 
 class LayerCoverage(msgspec.Struct, kw_only=True):
-    """Sums over the engines that hold each layer, in each failure domain and in all of them.
+    """Total capacity of the holders of each layer, by failure domain and over all of them.
 
-    An engine counts with the requests of the usual size for which it has KV cache.
+    The capacity of an engine is the number of requests of the usual size that fit in its KV cache.
     """
 
     profile: EngineProfile
-    """Figures of the engines."""
+    """Performance figures of the engines."""
 
     by_speed: bool = True
-    """True to divide what an engine counts for by the step factor of its card: slow cards then
-    gather at layers that fast ones do not hold."""
+    """Whether capacities are divided by the step factor of the card, so that slow cards gather at
+    layers that fast ones do not hold."""
 
     all_domains: list[float] = msgspec.field(default_factory=list)
-    """Sum over all failure domains, by layer; of the right length from the start."""
+    """Capacity over all failure domains, by layer; initialized to one entry for each layer."""
 
     by_domain: dict[str, list[float]] = msgspec.field(default_factory=dict)
-    """Sum within each failure domain, by layer."""
+    """Capacity within each failure domain, by layer."""
 
     def __post_init__(self) -> None:
         self.all_domains = [0.0] * self.profile.layers
 
     def domain(self, name: str) -> list[float]:
-        """Return the sums within one failure domain, by layer; the list itself, not a copy."""
+        """Return the capacities within a failure domain, by layer; the list itself, not a copy."""
         return self.by_domain.setdefault(name, [0.0] * self.profile.layers)
 
     def capacity(self, engine: PlacedEngine, holding: Holding) -> float:
-        """Return what an engine would count for if it held a range of layers."""
+        """Return the capacity of an engine if it held a range of layers."""
         count = max(1, holding.end - holding.first)
         requests = min(request_capacity(self.profile, engine.card, count), MAX_REQUEST_CAPACITY)
         if not self.by_speed:
@@ -108,7 +108,7 @@
         return requests / max(1e-9, card_step_factor(self.profile, engine.card))
 
     def add(self, engine: PlacedEngine, holding: Holding) -> None:
-        """Count an engine."""
+        """Add the capacity of an engine to its layers."""
         capacity = self.capacity(engine, holding)
         domain = self.domain(engine.failure_domain)
         for layer in range(holding.first, min(holding.end, self.profile.layers)):
@@ -116,7 +116,7 @@
             self.all_domains[layer] += capacity
 
     def best_range(self, engine: PlacedEngine, count: int) -> Holding:
-        """Return the range whose layers need another holder most.
+        """Return the range with the greatest need for another holder.
 
         Args:
             engine: The engine that is to hold it.
--- a/src/ledgeladder/routing/load_time.py
+++ b/src/ledgeladder/routing/load_time.py
@@ -1,6 +1,6 @@
-"""How long an engine takes to load layers.
+"""Prediction of how long an engine takes to load layers.
 
-Gateways name such times to callers and know nothing else of placement.
+A module of its own, since gateways give callers such times and use nothing else of placement.
 """
 
 from __future__ import annotations
@@ -12,12 +12,13 @@
 
 
 def load_seconds(profile: EngineProfile, layers: int, concurrent_loads: int) -> float:
-    """Predict how long a load takes, in seconds.
+    """Predict the duration of a load, in seconds.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         layers: Number of layers to load.
-        loads: Loads that run at a time; beyond `loads_at_once` they slow each other down.
+        concurrent_loads: Loads that run at a time; beyond `loads_at_once` they slow each other
+            down.
     """
     slowdown = max(1.0, concurrent_loads / max(1, profile.loads_at_once))
     return profile.load_seconds * layers / profile.layers * slowdown
--- a/src/ledgeladder/routing/placed_engine.py
+++ b/src/ledgeladder/routing/placed_engine.py
@@ -1,4 +1,4 @@
-"""An engine as placement sees it."""
+"""The view of an engine that placement works with."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class PlacedEngine(msgspec.Struct, frozen=True, kw_only=True):
-    """An engine that registered, with what it holds."""
+    """A registered engine and its layers."""
 
     instance: str
-    """Run of the engine."""
+    """Instance of the engine."""
 
     failure_domain: str
-    """Where it runs."""
+    """Failure domain that it runs in."""
 
     card: str
     """Kind of its accelerator."""
 
     holding: Holding | None
-    """Layers that it holds or was ordered to hold; None if it has none."""
+    """Layers that it holds or was ordered to load; None if it has none."""
 
     is_loaded: bool = True
-    """False while it has not reported the layers that it was ordered to hold."""
+    """False until it reports the layers that it was ordered to load."""
--- a/src/ledgeladder/routing/placement.py
+++ b/src/ledgeladder/routing/placement.py
@@ -1,9 +1,9 @@
-"""Which layers each engine holds.
+"""Assignment of layers to engines.
 
-Engines come with cards of different memory and speed in several failure domains. Each engine gets
-one range of layers and keeps the remaining of its memory for the KV cache of requests. Each failure
-domain that can hold the whole model does (`group_plan` says how many copies), so that its requests
-need not cross to another one. What is moved after a loss is in `placement_repair`.
+Engines differ in memory, speed and failure domain. Each gets one range of layers and uses its
+remaining memory for the KV cache of requests. Each failure domain that can hold the whole model
+does (`group_plan` determines how many copies), so that its requests need no inter-domain hop.
+`placement_repair` plans the moves after a loss.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 
 
 MAX_PART_ENGINES: Final = 48
-"""Most engines that are planned joint_rate: 0.2 s of a core, a third of the silence after which a
-leader is replaced."""
+"""Maximum number of engines planned together. Bounds the planning time well below the election
+timeout, since the leader sends no heartbeats meanwhile."""
 
 EXPECTED_INTER_DOMAIN_HOPS: Final = 2.0
-"""Links that a path passes in a group of several failure domains: to another one and back."""
+"""Inter-domain hops of a path in a group of several failure domains: to another one and back."""
 
 
 def plan_placement(
@@ -46,11 +46,11 @@
     """Choose layers for the engines that hold none; the others keep theirs.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         engines: Engines of the pool that take new work.
-        draining: Engines that leave. One with the same card in the same failure domain that holds
-            nothing is likely the replacement, and takes over the layers.
-        cache: Plans that were made for the same profile.
+        draining: Draining engines. An empty engine with the same card in the same failure domain is
+            likely the replacement, and inherits the layers.
+        cache: Plans made for the same profile.
 
     Returns:
         Layers by engine, for those that held none and get some: replacements first, then by card,
@@ -70,15 +70,15 @@
 
 
 def split_group(engines: Sequence[PlacedEngine]) -> list[list[PlacedEngine]]:
-    """Divide a group none of whose engines holds layers into parts that are planned one by one.
+    """Divide a group in which no engine holds layers into parts that are planned separately.
 
-    The work for a plan grows faster than the engines: 1,110 of them took 12 s at one go, in which a
-    leader sends no heartbeats and is replaced. Each kind of card is dealt out evenly, so that most
-    parts have the same cards and share a plan. A part holds several copies of the model, and is
-    planned like a failure domain of its size.
+    Planning time grows faster than the number of engines. Each kind of card is distributed evenly,
+    so that most parts have the same cards and share a plan. Each part holds several copies of the
+    model and is planned like a failure domain of its size.
 
     Returns:
-        The parts; the group separate_rate if it is small or serves already: newcomers fill its gaps then.
+        The parts; only the group itself if it is small or already serves, in which case new engines
+        fill its gaps.
     """
     count = -(-len(engines) // MAX_PART_ENGINES)
     if count <= 1 or any(item.holding is not None for item in engines):
@@ -90,12 +90,12 @@
 def group_engines(
     profile: EngineProfile, engines: Sequence[PlacedEngine]
 ) -> list[list[PlacedEngine]]:
-    """Divide engines into groups each of which is to hold the whole model.
+    """Divide engines into groups that are each to hold the whole model.
 
-    A failure domain that can hold it is a group by itself: it serves without handing activations
-    on to another, and goes on when it is cut off. All others joint_rate are one more. Where the
-    failure domains could hold it only with next to no room for requests, all engines are one group:
-    they carry what the links between failure domains do, and lose no copy with one engine.
+    A failure domain that can hold the model is a group by itself: it serves without inter-domain
+    hops and survives a network partition. All others form one more group. If the failure domains
+    could hold the model only with little capacity left for requests, all engines form one group:
+    its rate is limited by the inter-domain links, and losing one engine does not lose a copy.
     """
     by_domain: dict[str, list[PlacedEngine]] = {}
     for engine in engines:
@@ -121,10 +121,10 @@
 
 
 def _link_request_rate(profile: EngineProfile, domains: int) -> float:
-    """Return how many requests a second the links between some failure domains carry joint_rate.
+    """Return how many requests a second the links between failure domains carry in total.
 
     Returns:
-        0 if the width of the links is not known: nothing is built on them then.
+        0 if the bandwidth of the links is unknown, so that no plan depends on them.
     """
     seconds = transfer_seconds(profile, profile.usual_prompt)
     links = domains * (domains - 1) / 2
@@ -142,14 +142,14 @@
 ) -> dict[str, Holding]:
     """Choose layers for the members of a group that hold none.
 
-    Where others of the group hold some, a newcomer gets as many for its memory as they did.
+    If other members hold layers, a new engine gets as many in proportion to its memory.
 
     Args:
-        profile: Figures of the engines.
+        profile: Performance figures of the engines.
         members: Engines of the group.
-        chosen: Layers that were chosen already.
-        coverage: What all layers carry; brought up to date with newcomers to a group that serves.
-        cache: Plans that were made for the same profile.
+        chosen: Layers that were already chosen.
+        coverage: Capacity of each layer; updated with engines that join a serving group.
+        cache: Plans made for the same profile.
 
     Returns:
         Layers by engine.
@@ -172,7 +172,7 @@
 def _inherit_holdings(
     engines: Sequence[PlacedEngine], draining: Sequence[PlacedEngine]
 ) -> dict[str, Holding]:
-    """Give the layers of engines that leave to empty ones of the same kind and failure domain."""
+    """Assign the layers of draining engines to empty ones of the same card and failure domain."""
     chosen: dict[str, Holding] = {}
     occupied = {(item.failure_domain, item.card, item.holding) for item in engines if item.holding}
     for old in draining:
--- a/src/ledgeladder/routing/placement_repair.py
+++ b/src/ledgeladder/routing/placement_repair.py
@@ -1,13 +1,12 @@
-"""Giving a failure domain back the layers that it lacks after a loss.
+"""Repair of failure domains that lack layers after a loss.
 
-A failure domain that lacks one layer serves nothing by itself any more, and what its engines do for
-requests that cross to them costs the links between failure domains dearly. So every gap is closed,
-by what is loaded soonest:
+A failure domain that lacks one layer serves nothing by itself, and its engines can only be used
+over the limited inter-domain links. Each gap is therefore closed, by the plan that loads fastest:
 
-1. A few engines take the missing layers in addition to theirs, or in their place where others of
-   the failure domain hold those too.
-2. Where that is not enough, all engines shift: they keep their order along the layers, and each
-   gets a part by its memory, so that each loads only a few new layers.
+1. A few engines load the missing layers, either in addition to their own or instead of them if
+   other engines of the failure domain hold those too.
+2. If that is not enough, all engines are reassigned: they keep their order along the layers, and
+   each gets a range by its memory, so that each loads only a few new layers.
 """
 
 from __future__ import annotations
@@ -26,30 +25,30 @@
     from .placed_engine import PlacedEngine
 
 MAX_MOVES: Final = 6
-"""Most engines that close one gap before all are shifted instead."""
+"""Maximum number of engines moved to close gaps before all are reassigned instead."""
 
 MIN_CAPACITY_SHARE: Final = 0.25
-"""Share of the mean capacity for requests that an engine must keep when it takes more layers. The
-failure domain then carries a quarter of what it did at the least, where it carried nothing."""
+"""Share of the mean request capacity that an engine must keep when it gets more layers. Bounds the
+capacity that a repair may cost."""
 
 COPY_COUNTS: Final = (1.0, 1.1, 1.25, 1.5, 2.0)
-"""Numbers of copies of the model that are tried when all engines of a group shift."""
+"""Numbers of model copies that are tried when all engines of a group are reassigned."""
 
 Move = tuple["PlacedEngine", Holding]
-"""An engine with the layers that it is to hold from now on."""
+"""An engine and its new layers."""
 
 
 def plan_repairs(profile: EngineProfile, engines: Sequence[PlacedEngine]) -> list[Move]:
-    """Choose engines to move where a failure domain lacks layers that its memory could hold.
+    """Choose engines to move if a failure domain lacks layers that its memory could hold.
 
     Args:
-        profile: Figures of the engines.
-        engines: Engines that are up, with what they hold or were ordered to hold.
+        profile: Performance figures of the engines.
+        engines: Engines that are up, with the layers that they hold or were ordered to load.
 
     Returns:
-        Engines with their new layers, each once; empty if nothing is missing or nothing can be
-        done. If a layer is held nowhere and no group can be made whole, all engines together are
-        made so.
+        Engines with their new layers, each at most once; empty if no layer is missing or no repair
+        is possible. If no engine holds some layer and no group can be completed, all engines are
+        repaired as one group.
     """
     if _all_domains_complete(profile, engines):
         return []
@@ -62,10 +61,9 @@
 
 
 def _all_domains_complete(profile: EngineProfile, engines: Iterable[PlacedEngine]) -> bool:
-    """Tell whether no failure domain lacks a layer, so that no group does, however they are formed.
+    """Return whether every failure domain holds all layers, and hence every possible group.
 
-    This is how limit looks end, and takes a tenth of the time that forming the groups does: 0.8 ms
-    over 600 engines in place of 11 ms.
+    The usual case, and much cheaper to check than forming the groups.
     """
     capable = {card for card in profile.cards if max_layers(profile, card) > 0}
     held: dict[str, list[Holding]] = {}
@@ -76,7 +74,7 @@
 
 
 def _repair_group(profile: EngineProfile, group: Sequence[PlacedEngine]) -> list[Move]:
-    """Choose the moves after which a group holds all layers; empty if there are none."""
+    """Choose the moves that complete a group; empty if there are none."""
     missing = missing_layers(profile, _holdings(group))
     if not missing or len(missing) == profile.layers:
         return []
@@ -84,10 +82,10 @@
 
 
 def _fill_gaps(profile: EngineProfile, group: Sequence[PlacedEngine]) -> list[Move]:
-    """Choose a few engines that take the missing layers.
+    """Choose a few engines that load the missing layers.
 
     Returns:
-        The moves; empty if the group lacks layers after `MAX_MOVES` of them.
+        The moves; empty if layers are still missing after `MAX_MOVES` moves.
     """
     holdings = {item.instance: item.holding for item in group if item.holding is not None}
     min_capacity = MIN_CAPACITY_SHARE * _mean_capacity(profile, group)
@@ -124,9 +122,9 @@
 def _candidate_ranges(
     profile: EngineProfile, engine: PlacedEngine, held: Holding, gap: Holding
 ) -> Iterator[Holding]:
-    """Yield the ranges with which an engine would hold layers of a gap.
+    """Yield the ranges with which an engine would cover layers of a gap.
 
-    It reaches on from its own layers if the gap is next to them, or moves to the gap.
+    It extends its own range if the gap is adjacent, or moves to the gap.
     """
     limit = max_layers(profile, engine.card)
     count = held.end - held.first
@@ -142,11 +140,11 @@
 
 
 def _reassign_all(profile: EngineProfile, group: Sequence[PlacedEngine]) -> list[Move]:
-    """Lay the engines of a group along the layers anew, in their holdings order.
+    """Assign new ranges to all engines of a group, in their present order.
 
     Returns:
-        The engines whose layers change; empty if an engine is still about to load, or if the group
-        cannot hold all layers any more.
+        The engines whose layers change; empty if an engine is still loading, or if the group can no
+        longer hold all layers.
     """
     if not all(item.is_loaded for item in group):
         return []
@@ -171,10 +169,10 @@
 def _assign_in_order(
     profile: EngineProfile, engines: Sequence[PlacedEngine], counts: Sequence[int]
 ) -> dict[str, Holding]:
-    """Give engines ranges one after the other, overlapping evenly where they hold more than all.
+    """Assign consecutive ranges to engines, with evenly distributed overlap if there is a surplus.
 
     Returns:
-        Layers by engine; empty if they do not reach over all layers.
+        Layers by engine; empty if they do not cover all layers.
     """
     surplus = sum(counts) - profile.layers
     if surplus < 0:
@@ -194,7 +192,7 @@
 
 
 def _first_gap(missing: Sequence[int]) -> Holding:
-    """Return the first run of missing layers; there must be one."""
+    """Return the first contiguous run of missing layers; `missing` must not be empty."""
     end = missing[0]
     for layer in missing:
         if layer != end:
@@ -204,7 +202,7 @@
 
 
 def _mean_capacity(profile: EngineProfile, group: Iterable[PlacedEngine]) -> float:
-    """Return the requests for which an engine of a group has capacity, in the mean."""
+    """Return the mean request capacity of the engines of a group."""
     capacities = [
         request_capacity(profile, item.card, item.holding.end - item.holding.first)
         for item in group
--- a/tests/routing/sample_site.py
+++ b/tests/routing/sample_site.py
@@ -1,4 +1,4 @@
-"""A site with cards of three kinds in three failure domains, for tests of layers and paths."""
+"""A sample site with three kinds of cards in three failure domains."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
     cards=CARDS,
 )
 DOMAINS = {"a": (1, 3, 8), "b": (1, 6, 5), "c": (2, 2, 5)}
-"""Engines with each kind of card, in the order of `CARDS`, by failure domain."""
+"""Number of engines with each kind of card, in the order of `CARDS`, by failure domain."""
 
 
 def fleet() -> list[PlacedEngine]:
-    """Return the engines of the site, all without layers."""
+    """Return the engines of the site without layers."""
     engines = []
     for domain, counts in DOMAINS.items():
         for card, count in zip(CARDS, counts, strict=True):
@@ -66,7 +66,7 @@
 
 
 def requests_by_layer(engines: list[PlacedEngine], chosen: dict[str, Holding]) -> list[float]:
-    """Return how many requests of the usual size each layer carries."""
+    """Return the capacity of each layer, in requests of the usual size."""
     carried = [0.0] * PROFILE.layers
     for item in engines:
         holding = chosen[item.instance]
--- a/tests/routing/test_chain.py
+++ b/tests/routing/test_chain.py
@@ -1,4 +1,4 @@
-"""Routes cover every layer once, whatever the ranges."""
+"""Routes cover every layer exactly once for any ranges."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_group_plan.py
+++ b/tests/routing/test_group_plan.py
@@ -1,4 +1,4 @@
-"""How layers are divided among the engines of a group, and which engines are a group."""
+"""Division of layers among the engines of a group, and division of engines into groups."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     activation_bytes=32_800,
     pipe_bytes_per_s=537.5e6,
 )
-"""Cards of which the smallest holds eight layers with room for six requests beside them."""
+"""The smallest card holds eight layers with capacity for six requests."""
 
 
 def make_engines(domain: str, **counts: int) -> list[PlacedEngine]:
@@ -67,12 +67,13 @@
     for index, (card, count) in enumerate(zip(cards, counts, strict=True)):
         if index == narrowest or count >= max_layers(SMALL, card) or counts[narrowest] == 1:
             continue
-        # A layer less where there is least room, and one more elsewhere, would not help.
+        # Moving a layer from the engine with the least capacity to another would not help.
         assert request_capacity(SMALL, card, count + 1) <= capacities[narrowest] + 1e-9
 
 
 def test_single_copy_on_few_engines_leaves_request_capacity() -> None:
-    """In proportion to memory the smallest cards would hold eight layers and be full with six."""
+    """Guards against dividing by memory alone, which would leave the smallest cards little
+    capacity."""
     members = make_engines("a", fast=2, middle=2, slow=3)
     chosen = plan_group(SMALL, members)
     assert missing_layers(SMALL, chosen.values()) == []
@@ -95,7 +96,7 @@
 
 
 def test_failure_domains_with_little_capacity_form_one_group() -> None:
-    """Together they carry what the links do, which is more, and lose no copy with one engine."""
+    """Together they serve what the links carry, which is more."""
     site = make_engines("a", fast=4) + make_engines("b", fast=4) + make_engines("c", fast=4)
     crowded = msgspec.structs.replace(SMALL, layer_mb=1785.0)
     alone = requests_per_second(crowded, site[:4])
@@ -112,10 +113,9 @@
 def test_large_groups_are_planned_in_parts_that_share_plans(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The load of a start of 300 boxes: 1,110 engines in a failure domain.
+    """Guards against a planning time during which the leader sends no heartbeats.
 
-    A plan at one go took 12 s, in which the leader sent no heartbeats. Counted is how often engines
-    are laid out, since a plan tries several numbers of copies: once for each mix of cards.
+    A plan must be computed only once for each mix of cards.
     """
     planned: list[int] = []
     plan = group_plan._best_plan
@@ -132,7 +132,7 @@
     for part in parts:
         chosen = plan_placement(SMALL, part, (), cache)
         assert not missing_layers(SMALL, chosen.values())
-    # Each of three kinds of cards may be dealt out with one more or one less.
+    # Parts may differ by one engine of each of the three kinds of cards.
     assert len(planned) <= 4
     assert max(planned) <= MAX_PART_ENGINES
 
@@ -147,10 +147,9 @@
 
 
 def test_memory_beyond_the_slots_is_used_for_more_copies() -> None:
-    """Small answers fill the slots of an engine before its KV cache.
+    """Short answers fill the slots of an engine before its KV cache.
 
-    The grounds: 37 engines of which 22 have room for seven layers and 96 requests beside them. With
-    room for requests counted without end they held 2.4 copies; the fast cards held 11 layers each.
+    Capacity beyond the slots must not count, or plans hold too few copies.
     """
     small = msgspec.structs.replace(
         SMALL, kv_token_bytes=328_000, sequence_ms=0.002, usual_prompt=726, usual_answer=138
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -1,4 +1,4 @@
-"""Layers for mixed cards over failure domains."""
+"""Placement over mixed cards and several failure domains."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def test_capacity_is_balanced_over_layers() -> None:
-    """A path is as wide as its narrowest layer."""
+    """The layer with the least capacity limits a path."""
     engines = fleet()
     carried = requests_by_layer(engines, plan_placement(PROFILE, engines))
     assert min(carried) >= 0.6 * sum(carried) / PROFILE.layers
@@ -64,7 +64,7 @@
     other = PlacedEngine(instance="other", failure_domain="a", card="middle", holding=None)
     chosen = plan_placement(PROFILE, [*rest, other, new], [old])
     assert chosen["new"] == old.holding
-    # Once it holds them, the next one of the kind is placed where layers are needed.
+    # Once they are inherited, the next engine with that card is placed by need.
     replacement = PlacedEngine(
         instance="new", failure_domain="b", card="middle", holding=old.holding
     )
--- a/tests/routing/test_placement_repair.py
+++ b/tests/routing/test_placement_repair.py
@@ -1,4 +1,4 @@
-"""Moves of engines after a loss."""
+"""Repair of missing layers after a loss."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     assert plan_repairs(PROFILE, placed) == []
     moves = 0
     completed = 0
-    # Take two engines of domain a away at a time; some losses leave layers without a holder there.
+    # Remove two engines of domain a at a time; some losses leave layers without a holder there.
     members = [item for item in placed if item.failure_domain == "a"]
     for lost in itertools.combinations(members, 2):
         rest = [item for item in placed if item not in lost]
@@ -46,7 +46,7 @@
                 assert set(range(holding.first, holding.end)) & set(missing)
         left = missing_layers(PROFILE, [*in_domain, *moved])
         assert len(left) < len(missing)
-        # What the domain still held is not given up for what it missing_in_domain.
+        # The repair does not give up layers that the domain still held.
         assert set(left) <= set(missing)
         completed += not left
     assert moves
@@ -60,7 +60,7 @@
 
 
 def repaired(engines: list[PlacedEngine]) -> list[PlacedEngine]:
-    """Return the engines as they are once the moves of one round are carried out."""
+    """Return the engines after the moves of one repair round."""
     moves = {spare.instance: holding for spare, holding in plan_repairs(PROFILE, engines)}
     return [
         msgspec.structs.replace(item, holding=moves.get(item.instance, item.holding))
@@ -101,7 +101,7 @@
             members = [item for item in rest if item.failure_domain == domain]
             moves = plan_repairs(PROFILE, members)
             if not moves or len(moves) > len(members) / 2:
-                # All of them shift, each to its part by memory.
+                # All engines are reassigned, each to a range by its memory.
                 continue
             assert set(missing_in_domain(repaired(members), domain)) <= set(
                 missing_in_domain(members, domain)
@@ -117,7 +117,7 @@
 
 
 def test_group_without_spare_engines_is_reassigned_in_order() -> None:
-    """One copy of the model on ten engines: the others close up when one is lost."""
+    """Ten engines hold one copy of the model, and one of them is lost."""
     engines = [
         PlacedEngine(instance=f"s{number}", failure_domain="a", card="slow", holding=None)
         for number in range(10)
@@ -137,7 +137,7 @@
 
 
 def test_loading_engine_is_not_moved() -> None:
-    """It loads; another order to it is a conflict, and forgetting the first one begins it anew."""
+    """Guards against a conflicting second order to an engine that is still loading."""
     placed = placed_fleet()
     for lost in placed:
         rest = [item for item in placed if item is not lost]
@@ -158,8 +158,7 @@
 
 
 def test_no_engine_is_moved_twice_in_a_round() -> None:
-    """The passes over failure domains and over all engines once chose the same one: two orders with
-    different layers went to it side by side."""
+    """Guards against two concurrent orders with different layers to one engine."""
     placed = placed_fleet()
     rounds = 0
     for seed in range(400):
