--- a/bench/registry_load.py
+++ b/bench/registry_load.py
@@ -22,7 +22,7 @@
 import msgspec
 import uvloop
 
-from ledgeladder.coordination.upstream_order import LoadFigures, UpstreamOrder, pack_ages
+from ledgeladder.coordination.upstream_order import LoadFigures, UpstreamIndex, pack_ages
 from ledgeladder.http1 import connect, read_head, read_part, send_request
 from ledgeladder.links import Link, LinkIdentity, keep_link
 from ledgeladder.links.frames import encode_frame
@@ -209,7 +209,7 @@
                 told = Liveness(registration=registration(number, 0, 1), age=0.0)
                 link.post(RegistrationNews(told=(told,)))
             await anyio.sleep(0.01)
-        order = UpstreamOrder(
+        order = UpstreamIndex(
             number=1, instances=tuple(registration(item, 0, 1).instance for item in numbers)
         )
         link.post(OrderOfUpstreams(order=order))
--- a/src/ledgeladder/coordination/claims.py
+++ b/src/ledgeladder/coordination/claims.py
@@ -151,9 +151,9 @@
     if key_time < table.expired_before_ms:
         return ClaimResult(verdict=ClaimVerdict.EXPIRED)
     key = canonical_key(command.key)
-    standing = table.claims.get(command.account, {}).get(key)
-    if standing is not None:
-        return _judge_standing(standing, command, clock_ms)
+    existing = table.claims.get(command.account, {}).get(key)
+    if existing is not None:
+        return _evaluate_existing(existing, command, clock_ms)
     if table.count >= CLAIM_LIMIT:
         return ClaimResult(verdict=ClaimVerdict.FULL)
     table.claims.setdefault(command.account, {})[key] = Claim(
@@ -167,22 +167,22 @@
     return ClaimResult(verdict=ClaimVerdict.GRANTED)
 
 
-def _judge_standing(standing: Claim, command: ClaimCommand, clock_ms: int) -> ClaimResult:
-    if standing.body_digest != command.body_digest:
+def _evaluate_existing(existing: Claim, command: ClaimCommand, clock_ms: int) -> ClaimResult:
+    if existing.body_digest != command.body_digest:
         return ClaimResult(verdict=ClaimVerdict.MISMATCH)
-    if standing.ended and standing.status:
+    if existing.ended and existing.status:
         return ClaimResult(
             verdict=ClaimVerdict.ANSWERED,
-            status=standing.status,
-            content_type=standing.content_type,
-            body=standing.body,
+            status=existing.status,
+            content_type=existing.content_type,
+            body=existing.body,
         )
-    if standing.ended:
+    if existing.ended:
         return ClaimResult(verdict=ClaimVerdict.UNKNOWN)
-    if standing.attempt == command.attempt:
+    if existing.attempt == command.attempt:
         return ClaimResult(verdict=ClaimVerdict.GRANTED)
-    if clock_ms <= standing.deadline_ms:
-        retry_ms = standing.deadline_ms - clock_ms
+    if clock_ms <= existing.deadline_ms:
+        retry_ms = existing.deadline_ms - clock_ms
         return ClaimResult(verdict=ClaimVerdict.RUNNING, retry_ms=retry_ms)
     return ClaimResult(verdict=ClaimVerdict.UNKNOWN)
 
@@ -197,19 +197,19 @@
     Returns:
         False if the attempt does not hold the claim.
     """
-    standing = _held_by(table, command.account, command.key, command.attempt)
-    if standing is None or standing.ended:
+    existing = _find_claim(table, command.account, command.key, command.attempt)
+    if existing is None or existing.ended:
         return False
-    standing.ended = True
-    standing.status = command.status
-    standing.content_type = command.content_type
+    existing.ended = True
+    existing.status = command.status
+    existing.content_type = command.content_type
     fits = len(command.body) <= ANSWER_LIMIT
     if fits and table.answer_bytes + len(command.body) <= ANSWERS_TOTAL_LIMIT:
-        standing.body = command.body
+        existing.body = command.body
         table.answer_bytes += len(command.body)
     elif command.body:
         # The request ran, but its answer cannot be given again.
-        standing.status = 0
+        existing.status = 0
     return True
 
 
@@ -223,8 +223,8 @@
     Returns:
         False if the attempt does not hold the claim or its outcome is recorded.
     """
-    standing = _held_by(table, command.account, command.key, command.attempt)
-    if standing is None or standing.ended:
+    existing = _find_claim(table, command.account, command.key, command.attempt)
+    if existing is None or existing.ended:
         return False
     key = canonical_key(command.key)
     _forget(table, command.account, key)
@@ -235,10 +235,10 @@
     return True
 
 
-def _held_by(table: ClaimTable, account: str, key: str, attempt: str) -> Claim | None:
+def _find_claim(table: ClaimTable, account: str, key: str, attempt: str) -> Claim | None:
     if key_time_ms(key) is None:
         return None
-    standing = table.claims.get(account, {}).get(canonical_key(key))
-    if standing is None or standing.attempt != attempt:
+    existing = table.claims.get(account, {}).get(canonical_key(key))
+    if existing is None or existing.attempt != attempt:
         return None
-    return standing
+    return existing
--- a/src/ledgeladder/coordination/commands.py
+++ b/src/ledgeladder/coordination/commands.py
@@ -98,7 +98,7 @@
 class QuarantineCommand(msgspec.Struct, frozen=True, kw_only=True, tag="hold", array_like=True):
     """Send requests with a content to no upstream for a while."""
 
-    content: bytes
+    fingerprint: bytes
     """Mark of the content."""
 
     time_ms: int
@@ -168,7 +168,7 @@
     """After how many milliseconds the holder will have ended, if it is running."""
 
 
-class Noted(msgspec.Struct, frozen=True, kw_only=True, tag="noted", array_like=True):
+class Acknowledgement(msgspec.Struct, frozen=True, kw_only=True, tag="noted", array_like=True):
     """Outcome of a command that has none of its own."""
 
     accepted: bool
@@ -184,4 +184,4 @@
     """True if the published document was the newest."""
 
 
-Result = ChangeResult | ClaimResult | Noted | PublishResult
+Result = ChangeResult | ClaimResult | Acknowledgement | PublishResult
--- a/src/ledgeladder/coordination/engine_orders.py
+++ b/src/ledgeladder/coordination/engine_orders.py
@@ -1,7 +1,7 @@
-"""Orders to engines that registered: what was sent, by which leader, and what came of it.
+"""Orders to registered engines: what was sent, under which term, and the outcome.
 
 An order stays open until the engine reports the layers. Planning counts the layers of open orders
-as held, so that nothing is ordered twice.
+as held by the engine, so nothing is ordered twice.
 """
 
 from __future__ import annotations
@@ -16,36 +16,36 @@
 
     from ..model.registration import Holding
 
-CONFIRM_SECONDS: Final = 4.0
-"""How long an engine that did not answer an order may take to report the layers: a load of a
-quarter of the model and two heartbeats. After that it is ordered again."""
+CONFIRM_TIMEOUT_SECONDS: Final = 4.0
+"""How long an engine that did not answer an order may take to report the layers, before it is
+ordered again. Covers the load of a part of the model and two heartbeats."""
 
-LOAD_ROOM: Final = 2.0
-"""How many times as long as predicted a load may take before it is ordered again: an order that is
-repeated while the engine loads begins the load anew, and loads of other orders slow it down."""
+LOAD_TIMEOUT_FACTOR: Final = 2.0
+"""Ratio of the timeout of a load to its predicted time. An order that is sent again restarts the
+load, and concurrent loads slow it down."""
 
-FORGET_SECONDS: Final = 12.0
-"""After this time, or after the order's own patience if that is longer, an order to move that was
-not carried out is forgotten, and planned anew. Three times `CONFIRM_SECONDS`."""
+MOVE_TIMEOUT_SECONDS: Final = 12.0
+"""An order to move layers that was not carried out is dropped after this time, or after its own
+timeout if that is longer, and planned again."""
 
 
 class OrderOutcome(StrEnum):
-    """What an engine said to an order."""
+    """How an engine answered an order."""
 
     DONE = "done"
     """The engine holds the layers, or the request runs on its new path."""
 
-    BEGUN = "begun"
+    STARTED = "begun"
     """The engine loads the layers; its heartbeats report them once it holds them."""
 
     CONFLICT = "conflict"
-    """It does not fit the state of the engine."""
+    """The order does not fit the state of the engine."""
 
     FENCED = "fenced"
     """The engine has seen an order of a later leader."""
 
     WRONG_UPSTREAM = "wrong-upstream"
-    """Another run of an engine has the address."""
+    """Another instance of an engine has the address."""
 
     UNKNOWN_REQUEST = "unknown-request"
     """The request whose path was to change does not run on the engine."""
@@ -53,12 +53,12 @@
     REFUSED = "refused"
     """Any other answer."""
 
-    RESTING = "resting"
-    """It has asked for rest; the order was not sent, or was refused with that."""
+    BACKING_OFF = "resting"
+    """The engine requested back-off, so the order was not sent or was refused."""
 
     NO_ANSWER = "no-answer"
-    """None came, or the order was not sent since the engine could not be reached or the lease had
-    ended. It may have been taken, or may be carried out late."""
+    """No answer arrived, or the order was not sent because the engine was unreachable or the lease
+    had expired. The engine may still carry it out."""
 
 
 class EngineCall(msgspec.Struct, frozen=True, kw_only=True):
@@ -71,32 +71,32 @@
     """Path and query."""
 
     headers: list[tuple[bytes, bytes]]
-    """Header fields without `Host`, which whoever sends the call adds."""
+    """Header fields without `Host`, which the sender adds."""
 
     body: bytes
     """The body."""
 
 
 class EngineReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What an engine says of itself when it is asked."""
+    """State that an engine reports when it is queried."""
 
     slowdown: float
     """How many times slower than usual it works; 1 if it works as usual."""
 
-    orders_taken: int = 0
-    """Orders that it has begun since it started. An order names the number that it is to follow, so
-    that an engine that checks no terms still refuses one that arrives late."""
+    started_orders: int = 0
+    """Orders that it has started to carry out since its process started. An order names the number
+    that it expects, so an engine that does not check terms still refuses a late order."""
 
     is_busy: bool = False
     """True while it carries out an order."""
 
 
 class SentOrder(msgspec.Struct, kw_only=True):
-    """The newest order to one run of an engine."""
+    """The newest order to one instance of an engine."""
 
     holding: Holding
-    """Layers that it is to hold. The same are ordered again for as long as this leader remembers
-    the order, so that one that is carried out late does no harm."""
+    """Layers that the engine is to hold. The leader repeats the same layers for as long as the
+    order is open, so an order that is carried out late does no harm."""
 
     first_sent_at: float
     """When it was first sent, on the monotonic clock."""
@@ -105,96 +105,98 @@
     """When it was last sent, on the monotonic clock."""
 
     load_seconds: float = 0.0
-    """Time that the load is predicted to take, in seconds."""
+    """Predicted time of the load, in seconds."""
 
-    begun: bool = False
-    """True once the engine said that it loads the layers."""
+    is_loading: bool = False
+    """True once the engine answered that it loads the layers."""
 
     @property
-    def patience(self) -> float:
-        """Time from its last sending after which it is sent once more, in seconds."""
-        return CONFIRM_SECONDS + (self.load_seconds * LOAD_ROOM if self.begun else 0.0)
+    def timeout_seconds(self) -> float:
+        """Time after its last sending at which it is sent again, in seconds."""
+        return CONFIRM_TIMEOUT_SECONDS + (
+            self.load_seconds * LOAD_TIMEOUT_FACTOR if self.is_loading else 0.0
+        )
 
 
 class OrderLedger(msgspec.Struct, kw_only=True):
-    """Open orders by run of the engine: the own ones while this box leads, else the leader's."""
+    """Open orders by engine instance: the own ones while this box leads, else the leader's."""
 
     sent: dict[str, SentOrder] = msgspec.field(default_factory=dict)
-    """Newest order to each engine that has not reported the layers yet: to one that came without
-    any, or to one that was moved. Empty while this box does not lead."""
+    """Newest order to each engine that has not reported the layers yet. Empty while this box does
+    not lead."""
 
-    heard: dict[str, SentOrder] = msgspec.field(default_factory=dict)
-    """Newest order to each engine that another leader told of. Empty while this box leads."""
+    reported: dict[str, SentOrder] = msgspec.field(default_factory=dict)
+    """Newest order to each engine that another leader reported. Empty while this box leads."""
 
     repaired_at: float = float("-inf")
     """When moves were last planned or ordered again, on the monotonic clock."""
 
     fenced_terms: set[int] = msgspec.field(default_factory=set)
-    """Terms under which an engine refused an order; this box orders nothing more under them."""
+    """Terms under which an engine refused an order; this box sends no more orders under them."""
 
 
-def hear(
+def record_reported_order(
     ledger: OrderLedger, instance: str, holding: Holding, load_seconds: float, now: float
 ) -> None:
-    """Note that the leader has ordered an engine, so that the next one does not order it again.
+    """Record an order of the current leader, so the next leader does not repeat it.
 
     Args:
         ledger: The orders of this box.
-        instance: Run of the engine.
+        instance: Instance of the engine.
         holding: Layers that it is to hold.
-        load_seconds: Time that the load is predicted to take, in seconds.
+        load_seconds: Predicted time of the load, in seconds.
         now: Monotonic time.
     """
-    ledger.heard[instance] = SentOrder(
+    ledger.reported[instance] = SentOrder(
         holding=holding,
         first_sent_at=now,
         sent_at=now,
         load_seconds=load_seconds,
-        begun=True,
+        is_loading=True,
     )
 
 
-def follow(ledger: OrderLedger, now: float) -> None:
-    """Drop the own orders, and those that were heard of too long ago, while another box leads."""
+def step_down(ledger: OrderLedger, now: float) -> None:
+    """Drop the own orders, and expired ones of the leader, while another box leads."""
     ledger.sent.clear()
-    ledger.heard = {
+    ledger.reported = {
         instance: order
-        for instance, order in ledger.heard.items()
-        if now - order.sent_at < order.patience
+        for instance, order in ledger.reported.items()
+        if now - order.sent_at < order.timeout_seconds
     }
 
 
-def take_over(ledger: OrderLedger) -> None:
-    """Go on, as the leader, with the orders that the last one told of."""
-    for instance, order in ledger.heard.items():
+def resume_reported_orders(ledger: OrderLedger) -> None:
+    """Take over, as the new leader, the orders that the last one reported."""
+    for instance, order in ledger.reported.items():
         ledger.sent.setdefault(instance, order)
-    ledger.heard = {}
+    ledger.reported = {}
 
 
-def due(ledger: OrderLedger, instance: str, now: float) -> bool:
-    """Tell whether an engine that has not reported its layers is to be ordered now, or again."""
+def is_due(ledger: OrderLedger, instance: str, now: float) -> bool:
+    """Return whether an order to an engine that has not reported its layers must be sent now."""
     order = ledger.sent.get(instance)
-    return order is None or now - order.sent_at >= order.patience
+    return order is None or now - order.sent_at >= order.timeout_seconds
 
 
-def note_sent(
+def record_sent(
     ledger: OrderLedger,
     instance: str,
     holding: Holding,
     now: float,
     load_seconds: float = 0.0,
 ) -> None:
-    """Note an order that is about to be sent, or sent once more.
+    """Record an order that is about to be sent, or sent again.
 
     Args:
         ledger: The orders.
-        instance: Run of the engine.
+        instance: Instance of the engine.
         holding: Layers that it is to hold.
         now: Monotonic time.
-        load_seconds: Time that the load is predicted to take, in seconds.
+        load_seconds: Predicted time of the load, in seconds.
     """
-    held = ledger.sent.get(instance)
-    first = held.first_sent_at if held is not None and held.holding == holding else now
+    previous = ledger.sent.get(instance)
+    first = previous.first_sent_at if previous is not None and previous.holding == holding else now
     ledger.sent[instance] = SentOrder(
         holding=holding,
         first_sent_at=first,
@@ -203,13 +205,13 @@
     )
 
 
-def note_outcome(ledger: OrderLedger, instance: str, outcome: OrderOutcome, fence: int) -> None:
-    """Take in what an engine said to an order.
+def record_outcome(ledger: OrderLedger, instance: str, outcome: OrderOutcome, fence: int) -> None:
+    """Record how an engine answered an order.
 
     Args:
         ledger: The orders.
-        instance: Run of the engine.
-        outcome: What it said. An order that reached another run is forgotten, and so is one that
+        instance: Instance of the engine.
+        outcome: The outcome. An order that reached another instance is dropped, and so is one that
             does not fit the engine's state, since the engine may be carrying out another one.
         fence: Term under which the order was sent.
     """
@@ -217,22 +219,22 @@
         ledger.fenced_terms.add(fence)
     elif outcome in (OrderOutcome.WRONG_UPSTREAM, OrderOutcome.CONFLICT):
         ledger.sent.pop(instance, None)
-    elif outcome is OrderOutcome.BEGUN and instance in ledger.sent:
-        ledger.sent[instance].begun = True
+    elif outcome is OrderOutcome.STARTED and instance in ledger.sent:
+        ledger.sent[instance].is_loading = True
 
 
-def settle(
+def reconcile(
     ledger: OrderLedger, reported: Mapping[str, Collection[Holding]], now: float
 ) -> list[str]:
-    """Forget orders whose engines report the layers, are gone, or have not carried them out.
+    """Drop orders whose engines report the layers, are gone, or did not carry them out in time.
 
     Args:
         ledger: The orders.
-        reported: What each registered engine says that it holds.
+        reported: Layers that each registered engine reports.
         now: Monotonic time.
 
     Returns:
-        Runs of the engines that report the layers.
+        Instances of the engines that report the layers.
     """
     confirmed = []
     for instance, order in list(ledger.sent.items()):
@@ -246,6 +248,6 @@
 
 
 def _is_overdue(order: SentOrder, holdings: Collection[Holding], now: float) -> bool:
-    """Tell whether an engine still reports other layers long after it was moved."""
-    patience = max(FORGET_SECONDS, order.patience)
-    return bool(holdings) and now - order.first_sent_at > patience
+    """Return whether an engine still reports other layers after the timeout of its move."""
+    timeout_seconds = max(MOVE_TIMEOUT_SECONDS, order.timeout_seconds)
+    return bool(holdings) and now - order.first_sent_at > timeout_seconds
--- a/src/ledgeladder/coordination/freshness.py
+++ b/src/ledgeladder/coordination/freshness.py
@@ -1,9 +1,10 @@
-"""How long ago a box can be sure that its configuration was the newest.
+"""Tracks how recently a box knew that its configuration was the newest.
 
-A box asks for the newest version. The leader answers only while it holds its lease, so the answer
-was right at some moment after the question. The box therefore counts from the moment at which it
-asked, never from the answer: a process that is frozen in between wakes up with an old belief and
-knows it. Control boxes that do not lead pass the leader's answer on together with its age.
+A box queries the newest version. The leader replies only while it holds its lease, so the reply was
+correct at some time after the query was sent. Its age is therefore counted from the sending of the
+query, never from the arrival of the reply: a process that is paused in between does not
+overestimate how fresh its knowledge is. Control boxes that do not lead forward the leader's reply
+with its age.
 """
 
 from __future__ import annotations
@@ -12,9 +13,8 @@
 
 import msgspec
 
-QUESTIONS_KEPT: Final = 32
-"""Unanswered questions that are remembered, over all links. An entry box asks each control box
-twice a second: with three of them, those of the last 5 seconds, and with eight, of the last 2."""
+MAX_OPEN_QUERIES: Final = 32
+"""Unanswered queries that are kept, over all links: those of the last few seconds."""
 
 
 class Freshness(msgspec.Struct, kw_only=True):
@@ -26,65 +26,65 @@
     as_of: float = float("-inf")
     """Own monotonic time at which no newer version was committed."""
 
-    asked_at: dict[int, float] = msgspec.field(default_factory=dict)
-    """When each open question was asked, by its number."""
+    sent_at: dict[int, float] = msgspec.field(default_factory=dict)
+    """When each open query was sent, by its number."""
 
-    next_question: int = 1
-    """Number of the next question."""
+    next_query: int = 1
+    """Number of the next query."""
 
 
-def ask(freshness: Freshness, now: float) -> int:
-    """Open a question.
+def open_query(freshness: Freshness, now: float) -> int:
+    """Open a query.
 
     Args:
-        freshness: The box's state.
-        now: Monotonic time, read before the question is sent.
+        freshness: State of the box.
+        now: Monotonic time, read before the query is sent.
 
     Returns:
-        Number of the question.
+        Number of the query.
     """
-    number = freshness.next_question
-    freshness.next_question += 1
-    freshness.asked_at[number] = now
-    while len(freshness.asked_at) > QUESTIONS_KEPT:
-        del freshness.asked_at[next(iter(freshness.asked_at))]
+    number = freshness.next_query
+    freshness.next_query += 1
+    freshness.sent_at[number] = now
+    while len(freshness.sent_at) > MAX_OPEN_QUERIES:
+        del freshness.sent_at[next(iter(freshness.sent_at))]
     return number
 
 
-def take_answer(freshness: Freshness, number: int, version: int, age: float | None) -> None:
-    """Take in an answer.
+def handle_reply(freshness: Freshness, number: int, version: int, age: float | None) -> None:
+    """Handle a reply to a query.
 
-    One that names an older version than is known counts for nothing: it comes from a box that has
-    not caught up. One without knowledge leaves the question open: the box answers it again once it
-    is sure.
+    A reply with an older version than the known one comes from a box that lags behind and is
+    ignored. A reply without knowledge leaves the query open, since the box replies again once it
+    has some.
 
     Args:
-        freshness: The box's state.
-        number: Number of the question.
-        version: Newest version that the answering box knows.
-        age: Seconds that the answering box's own knowledge was old, or None if it has none.
+        freshness: State of the box.
+        number: Number of the query.
+        version: Newest version that the replying box knows.
+        age: Age of the replying box's own knowledge in seconds, or None if it has none.
     """
     if age is None:
         return
-    asked_at = freshness.asked_at.pop(number, None)
-    if asked_at is None:
+    sent_at = freshness.sent_at.pop(number, None)
+    if sent_at is None:
         return
-    as_of = asked_at - age
+    as_of = sent_at - age
     if version >= freshness.version and as_of > freshness.as_of:
         freshness.version = version
         freshness.as_of = as_of
 
 
-def is_fresh(freshness: Freshness, held_version: int, now: float, bound: float) -> bool:
-    """Tell whether the held configuration was the newest within the last `bound` seconds.
+def is_fresh(freshness: Freshness, own_version: int, now: float, max_age: float) -> bool:
+    """Return whether the own configuration was the newest within the last `max_age` seconds.
 
     Args:
-        freshness: The box's state.
-        held_version: Version that the box has in force.
-        now: Monotonic time, read after the request that relies on it.
-        bound: Longest age that is allowed, in seconds.
+        freshness: State of the box.
+        own_version: Version that the box has in force.
+        now: Monotonic time, read after the arrival of the request that relies on it.
+        max_age: Maximum age, in seconds.
 
     Returns:
-        True if nothing newer can have been committed more than `bound` seconds ago.
+        True if nothing newer can have been committed more than `max_age` seconds ago.
     """
-    return held_version >= freshness.version and now - freshness.as_of <= bound
+    return own_version >= freshness.version and now - freshness.as_of <= max_age
--- a/src/ledgeladder/coordination/loss_evidence.py
+++ b/src/ledgeladder/coordination/loss_evidence.py
@@ -1,8 +1,8 @@
-"""Whether an engine counts as lost, from heartbeats and from what entry boxes found.
+"""Decides whether an engine is presumed lost, from its heartbeats and reports of entry boxes.
 
-One entry box may be slow or cut off itself and call every engine dead. Its word alone counts only
-together with a heartbeat that is overdue; two boxes that say the same are believed at once, and an
-engine that is silent for several heartbeats needs no witness.
+A single entry box may itself be slow or partitioned and report every engine as unreachable, so its
+report counts only once a heartbeat is overdue. Two boxes that agree are believed at once, and an
+engine that misses several heartbeats is presumed lost without any report.
 """
 
 from __future__ import annotations
@@ -11,44 +11,44 @@
 
 import msgspec
 
-WITNESSES: Final = 2
-"""Entry boxes that must find an engine dead while its heartbeats are not overdue."""
+MIN_WITNESSES: Final = 2
+"""Entry boxes that must report an engine while its heartbeat is not overdue."""
 
 OVERDUE_HEARTBEATS: Final = 1.25
-"""Heartbeats after which the next one is overdue; they come about once an interval."""
+"""Heartbeat intervals after which the next heartbeat is overdue."""
 
-SILENT_HEARTBEATS: Final = 3.0
-"""Heartbeats that an engine may miss before it counts as lost although nobody found it dead."""
+MAX_MISSED_HEARTBEATS: Final = 3.0
+"""Heartbeat intervals after which an engine is presumed lost without any report."""
 
 
 class Witness(msgspec.Struct, frozen=True, kw_only=True):
-    """An entry box that found an engine dead."""
+    """An entry box that reported an engine as unreachable."""
 
     failure_domain: str
     """Its failure domain."""
 
     at: float
-    """When it last said so, on the monotonic clock."""
+    """When it last reported the engine, on the monotonic clock."""
 
 
 class LossEvidence(msgspec.Struct, kw_only=True):
-    """Engines that entry boxes found dead."""
+    """Engines that entry boxes reported as unreachable."""
 
     reports: dict[str, dict[str, Witness]] = msgspec.field(default_factory=dict)
-    """Who found an engine dead, by run of the engine and box."""
+    """Witnesses by engine instance and box."""
 
-    told: dict[str, float] = msgspec.field(default_factory=dict)
-    """When entry boxes were last told of a loss, by run of the engine, on the monotonic clock."""
+    broadcast_at: dict[str, float] = msgspec.field(default_factory=dict)
+    """When a loss was last broadcast to entry boxes, by engine instance, on the monotonic clock."""
 
 
-def note_report(
+def record_report(
     evidence: LossEvidence, instance: str, box: str, failure_domain: str, now: float
 ) -> None:
-    """Note that an entry box found an engine dead.
+    """Record that an entry box found an engine unreachable.
 
     Args:
-        evidence: What entry boxes found.
-        instance: Run of the engine.
+        evidence: Reports of entry boxes.
+        instance: Instance of the engine.
         box: The entry box.
         failure_domain: Its failure domain.
         now: Monotonic time.
@@ -57,72 +57,77 @@
     evidence.reports.setdefault(instance, {})[box] = witness
 
 
-def forget_engines(evidence: LossEvidence, known: set[str]) -> None:
-    """Forget all engines but the known ones, given as runs."""
-    for kept in (evidence.reports, evidence.told):
-        for instance in [item for item in kept if item not in known]:
-            del kept[instance]
+def retain_engines(evidence: LossEvidence, known: set[str]) -> None:
+    """Drop the evidence on all engines but the known ones, given as instances."""
+    for entries in (evidence.reports, evidence.broadcast_at):
+        for instance in [item for item in entries if item not in known]:
+            del entries[instance]
 
 
-def is_worth_telling(
-    evidence: LossEvidence, instance: str, failure_domain: str, heard_at: float, now: float
+def should_broadcast(
+    evidence: LossEvidence, instance: str, failure_domain: str, last_seen_at: float, now: float
 ) -> bool:
-    """Tell whether all entry boxes are to be told of a loss now; True once for each silence.
+    """Return whether to broadcast a loss to all entry boxes now, and record that it is.
 
-    Boxes that learn it need no lost try of their own to find out. With hundreds of boxes each of
-    which finds the dead engines by itself, that would be hundreds of lost tries a loss.
+    Entry boxes that receive the broadcast need no failed attempt of their own to detect the loss.
+    It is sent once until the next heartbeat of the engine.
 
     Args:
-        evidence: What entry boxes found.
-        instance: Run of the engine.
+        evidence: Reports of entry boxes.
+        instance: Instance of the engine.
         failure_domain: Its failure domain.
-        heard_at: When its last heartbeat came, on the monotonic clock.
+        last_seen_at: When its last heartbeat arrived, on the monotonic clock.
         now: Monotonic time.
 
     Returns:
-        True if `WITNESSES` boxes found it dead since then, one of them in its own failure domain or
-        in two others: a failure domain that is cut off finds all engines of the others dead.
+        True if `MIN_WITNESSES` boxes reported it since then, one of them in its own failure domain
+        or at least two in different ones: a partitioned failure domain finds all engines of the
+        others unreachable.
     """
-    if evidence.told.get(instance, float("-inf")) > heard_at:
+    if evidence.broadcast_at.get(instance, float("-inf")) > last_seen_at:
         return False
-    recent = [item for item in evidence.reports.get(instance, {}).values() if item.at > heard_at]
+    recent = [
+        item for item in evidence.reports.get(instance, {}).values() if item.at > last_seen_at
+    ]
     domains = {item.failure_domain for item in recent}
-    if len(recent) < WITNESSES or (failure_domain not in domains and len(domains) < WITNESSES):
+    if len(recent) < MIN_WITNESSES or (
+        failure_domain not in domains and len(domains) < MIN_WITNESSES
+    ):
         return False
-    evidence.told[instance] = now
+    evidence.broadcast_at[instance] = now
     return True
 
 
-def seems_lost(
+def is_presumed_lost(
     evidence: LossEvidence,
     instance: str,
-    heard_at: float,
+    last_seen_at: float,
     now: float,
     heartbeat: float,
     *,
-    heard_until: float | None,
+    seen_until: float | None,
 ) -> bool:
-    """Tell whether an engine counts as lost.
+    """Return whether an engine is presumed lost.
 
     Args:
-        evidence: What entry boxes found. Reports from before the last heartbeat count for nothing.
-        instance: Run of the engine.
-        heard_at: When its last heartbeat came, on the monotonic clock.
+        evidence: Reports of entry boxes. Those from before the last heartbeat are ignored.
+        instance: Instance of the engine.
+        last_seen_at: When its last heartbeat arrived, on the monotonic clock.
         now: Monotonic time.
         heartbeat: Time between two heartbeats, in seconds.
-        heard_until: Moment up to which all other control boxes were heard, on the monotonic clock:
-            they take heartbeats that this box learns from them. None while some are out of reach.
-            Then only witnesses count, and it takes `WITNESSES` of them.
+        seen_until: Time up to which all other control boxes were reachable, on the monotonic clock,
+            since they receive some of the heartbeats. None while some are unreachable; then only
+            `MIN_WITNESSES` reports count.
 
     Returns:
-        True if `WITNESSES` boxes found it dead since its last heartbeat, if one did and the next
-        heartbeat is overdue, or if it is silent for long.
+        True if `MIN_WITNESSES` boxes reported it since its last heartbeat, if one did and the next
+        heartbeat is overdue, or if it missed several heartbeats.
     """
-    silence = min(now, heard_until) - heard_at if heard_until is not None else 0.0
-    if silence > SILENT_HEARTBEATS * heartbeat:
+    inactivity = min(now, seen_until) - last_seen_at if seen_until is not None else 0.0
+    if inactivity > MAX_MISSED_HEARTBEATS * heartbeat:
         return True
     reports = evidence.reports.get(instance, {})
-    witnesses = sum(1 for witness in reports.values() if witness.at > heard_at)
-    if witnesses >= WITNESSES:
+    witnesses = sum(1 for witness in reports.values() if witness.at > last_seen_at)
+    if witnesses >= MIN_WITNESSES:
         return True
-    return witnesses > 0 and silence > OVERDUE_HEARTBEATS * heartbeat
+    return witnesses > 0 and inactivity > OVERDUE_HEARTBEATS * heartbeat
--- a/src/ledgeladder/coordination/orders.py
+++ b/src/ledgeladder/coordination/orders.py
@@ -15,7 +15,7 @@
 
 from ..model import Configuration, LayerSpan, Upstream, UpstreamKind
 
-LOADS_AT_A_TIME: Final = 1
+MAX_CONCURRENT_LOADS: Final = 1
 """Engines that load at a time, which keeps the weight store's rate for one of them."""
 
 
@@ -45,7 +45,7 @@
     """True once the engine confirmed it."""
 
 
-class OrderBook(msgspec.Struct, kw_only=True):
+class OrderTable(msgspec.Struct, kw_only=True):
     """The newest order to each engine."""
 
     orders: dict[str, Order] = msgspec.field(default_factory=dict)
@@ -55,7 +55,7 @@
     """Number of the last order; it ascends over all engines."""
 
 
-def wanted_assignment(upstream: Upstream) -> Assignment | None:
+def configured_assignment(upstream: Upstream) -> Assignment | None:
     """Return what the configuration wants an engine to hold, or None if it is not managed."""
     if upstream.kind is not UpstreamKind.ENGINE or not upstream.version:
         return None
@@ -63,65 +63,67 @@
     return Assignment(model=upstream.model, version=upstream.version, span=span)
 
 
-def place_order(book: OrderBook, upstream: str, assignment: Assignment) -> Order:
-    """Enter an order into the book, replacing the engine's older one."""
-    book.last_index += 1
-    order = Order(assignment=assignment, index=book.last_index)
-    book.orders[upstream] = order
+def place_order(table: OrderTable, upstream: str, assignment: Assignment) -> Order:
+    """Enter an order into the table, replacing the engine's older one."""
+    table.last_index += 1
+    order = Order(assignment=assignment, index=table.last_index)
+    table.orders[upstream] = order
     return order
 
 
-def confirm_order(book: OrderBook, upstream: str, index: int) -> bool:
+def confirm_order(table: OrderTable, upstream: str, index: int) -> bool:
     """Note that an engine carried out an order.
 
     Returns:
         False if the engine has been given a newer order meanwhile.
     """
-    order = book.orders.get(upstream)
+    order = table.orders.get(upstream)
     if order is None or order.index != index:
         return False
     order.done = True
     return True
 
 
-def pending_orders(book: OrderBook) -> dict[str, Order]:
+def pending_orders(table: OrderTable) -> dict[str, Order]:
     """Return the orders that no engine has confirmed."""
-    return {name: order for name, order in book.orders.items() if not order.done}
+    return {name: order for name, order in table.orders.items() if not order.done}
 
 
 def next_order(
-    book: OrderBook, configuration: Configuration, live: Iterable[str]
+    table: OrderTable, configuration: Configuration, live: Iterable[str]
 ) -> tuple[str, Assignment] | None:
     """Choose the next order to place.
 
     Args:
-        book: Orders so far.
+        table: Orders so far.
         configuration: The configuration in force.
         live: Names of the engines that answer.
 
     Returns:
         Upstream and assignment, or None if nothing is due or nothing may be ordered now.
     """
-    if len(pending_orders(book)) >= LOADS_AT_A_TIME:
+    if len(pending_orders(table)) >= MAX_CONCURRENT_LOADS:
         return None
-    answering = set(live)
+    live_names = set(live)
     for name, upstream in sorted(configuration.upstreams.items()):
-        wanted = wanted_assignment(upstream)
-        order = book.orders.get(name)
-        if wanted is None or name not in answering:
+        target = configured_assignment(upstream)
+        order = table.orders.get(name)
+        if target is None or name not in live_names:
             continue
-        if order is not None and order.assignment == wanted:
+        if order is not None and order.assignment == target:
             continue
-        if order is None or may_be_spared(book, configuration, answering, name):
-            return name, wanted
+        if order is None or is_redundant(table, configuration, live_names, name):
+            return name, target
     return None
 
 
-def may_be_spared(book: OrderBook, configuration: Configuration, live: set[str], name: str) -> bool:
-    """Tell whether all layers that an engine holds now are held by another live engine too.
+def is_redundant(
+    table: OrderTable, configuration: Configuration, live: set[str], name: str
+) -> bool:
+    """Tell whether all layers that an engine holds now are current by another live engine too.
 
     Args:
-        book: Orders so far.
+        table: Orders so far.
         configuration: The configuration in force.
         live: Names of the engines that answer.
         name: The engine that would stop serving while it loads.
@@ -129,10 +131,10 @@
     Returns:
         True if every layer stays covered meanwhile.
     """
-    held = book.orders[name].assignment
+    current = table.orders[name].assignment
     covered: set[int] = set()
-    for other, order in book.orders.items():
-        same_model = order.assignment.model == held.model
+    for other, order in table.orders.items():
+        same_model = order.assignment.model == current.model
         if other != name and other in live and order.done and same_model:
             covered.update(range(order.assignment.span.first, order.assignment.span.end))
-    return all(layer in covered for layer in range(held.span.first, held.span.end))
+    return all(layer in covered for layer in range(current.span.first, current.span.end))
--- a/src/ledgeladder/coordination/quarantine.py
+++ b/src/ledgeladder/coordination/quarantine.py
@@ -1,6 +1,7 @@
-"""Contents of requests that are sent to no upstream, as a part of the replicated state.
+"""Quarantined request content, as part of the replicated state.
 
-They outlast a loss of power of all boxes: what is forgotten ends three more upstreams.
+The quarantine survives a power loss of all boxes; without it, retried content would crash further
+upstreams.
 """
 
 from __future__ import annotations
@@ -10,55 +11,55 @@
 import msgspec
 
 QUARANTINE_MS: Final = 3_600_000
-"""How long a content is sent nowhere, in milliseconds. In an hour upstreams are mended or replaced
-by another version; if not, a content that comes again ends three of them an hour."""
+"""Duration of a quarantine, in milliseconds. It leaves time to repair upstreams or replace their
+version."""
 
-CONTENTS_REMEMBERED: Final = 4096
-"""Contents that are kept, the newest; they take 0.1 MB in a snapshot."""
+MAX_FINGERPRINTS: Final = 4096
+"""Fingerprints that are kept, the newest."""
 
 
 class Quarantine(msgspec.Struct, kw_only=True):
-    """Contents that are sent to no upstream."""
+    """Fingerprints of request content that is sent to no upstream."""
 
     until_ms: dict[bytes, int] = msgspec.field(default_factory=dict)
-    """Until when, in milliseconds since 1970, by mark of the content, oldest first."""
+    """When each quarantine ends, in milliseconds since 1970, by fingerprint, oldest first."""
 
     changes: int = 0
-    """Number of contents that were ever added."""
+    """Number of fingerprints that were ever added."""
 
 
-def add_content(quarantine: Quarantine, content: bytes, now_ms: int) -> bool:
-    """Send a content nowhere from now on.
+def add_fingerprint(quarantine: Quarantine, fingerprint: bytes, now_ms: int) -> bool:
+    """Quarantine a fingerprint.
 
     Args:
-        quarantine: The contents.
-        content: Mark of the content.
-        now_ms: Time of the command that says so, in milliseconds since 1970.
+        quarantine: The quarantined fingerprints.
+        fingerprint: Fingerprint of the request content.
+        now_ms: Time of the command, in milliseconds since 1970.
 
     Returns:
-        False if it was sent nowhere already.
+        False if it was already quarantined.
     """
     drop_expired(quarantine, now_ms)
-    if content in quarantine.until_ms:
+    if fingerprint in quarantine.until_ms:
         return False
-    quarantine.until_ms[content] = now_ms + QUARANTINE_MS
+    quarantine.until_ms[fingerprint] = now_ms + QUARANTINE_MS
     quarantine.changes += 1
-    while len(quarantine.until_ms) > CONTENTS_REMEMBERED:
+    while len(quarantine.until_ms) > MAX_FINGERPRINTS:
         del quarantine.until_ms[next(iter(quarantine.until_ms))]
     return True
 
 
 def drop_expired(quarantine: Quarantine, now_ms: int) -> None:
-    """Drop the contents whose time is over."""
-    expired = [content for content, until in quarantine.until_ms.items() if until <= now_ms]
-    for content in expired:
-        del quarantine.until_ms[content]
+    """Drop the fingerprints whose quarantine has ended."""
+    expired = [fingerprint for fingerprint, until in quarantine.until_ms.items() if until <= now_ms]
+    for fingerprint in expired:
+        del quarantine.until_ms[fingerprint]
 
 
 def seconds_left(quarantine: Quarantine, now_ms: int) -> dict[bytes, float]:
-    """Return for how many more seconds each content is sent nowhere."""
+    """Return the remaining quarantine of each fingerprint, in seconds."""
     return {
-        content: (until - now_ms) / 1000.0
-        for content, until in quarantine.until_ms.items()
+        fingerprint: (until - now_ms) / 1000.0
+        for fingerprint, until in quarantine.until_ms.items()
         if until > now_ms
     }
--- a/src/ledgeladder/coordination/registrations.py
+++ b/src/ledgeladder/coordination/registrations.py
@@ -1,7 +1,7 @@
-"""Registrations of upstreams as soft state: kept by id and sequence, merged from many sources.
+"""Registrations of upstreams as soft state, keyed by instance and merged from all control boxes.
 
-Every control box takes registrations and tells every other box. Nothing here is written to a disk:
-upstreams register again within one heartbeat interval.
+Every control box accepts registrations and forwards them to the others. Nothing is written to disk,
+since upstreams register again within one heartbeat interval.
 """
 
 from __future__ import annotations
@@ -15,32 +15,31 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-GONE_REMEMBERED: Final = 4096
-"""Ids of ended upstreams that are kept, so that a late heartbeat does not bring one back.
-A day of 600 upstreams with 110 restarts needs a few hundred."""
+MAX_GONE: Final = 4096
+"""Exited instances that are kept, so a late heartbeat does not register one again."""
 
 
 class KnownUpstream(msgspec.Struct, kw_only=True):
-    """An upstream that registered."""
+    """An instance of an upstream that registered."""
 
     registration: Registration
     """The newest registration."""
 
-    first_heard_at: float
-    """When it was first heard, on the own monotonic clock."""
+    first_seen_at: float
+    """When it was first seen, on the own monotonic clock."""
 
-    began_at: float
-    """Estimate of when its run began, on the own monotonic clock."""
+    started_at: float
+    """Estimated start of the instance, on the own monotonic clock."""
 
-    heard_at: float
-    """When the upstream was last heard by anybody, on the own monotonic clock."""
+    last_seen_at: float
+    """When any box last received a heartbeat from it, on the own monotonic clock."""
 
 
-class NewestRun(msgspec.Struct, frozen=True, kw_only=True):
-    """The newest run of an upstream that keeps its id over restarts."""
+class NewestInstance(msgspec.Struct, frozen=True, kw_only=True):
+    """The newest instance of an upstream that keeps its id over restarts."""
 
     instance: str
-    """Name of the run."""
+    """Name of the instance."""
 
     born_ms: int
     """When it started, in milliseconds since 1970."""
@@ -50,76 +49,76 @@
     """All upstreams that are known."""
 
     known: dict[str, KnownUpstream] = msgspec.field(default_factory=dict)
-    """Upstreams that have not ended, by id."""
+    """Upstreams that have not exited, by instance."""
 
     gone: dict[str, None] = msgspec.field(default_factory=dict)
-    """Ids of upstreams that have ended, oldest first."""
+    """Instances that have exited, oldest first."""
 
-    newest: dict[str, NewestRun] = msgspec.field(default_factory=dict)
-    """Newest run of each upstream by the id that it keeps, the one heard of last at the end."""
+    newest: dict[str, NewestInstance] = msgspec.field(default_factory=dict)
+    """Newest instance of each upstream by upstream id, the most recently registered last."""
 
     heartbeat: float = 1.0
     """Time between two heartbeats of an upstream, in seconds."""
 
 
-def take_registration(
-    table: RegistrationTable, registration: Registration, heard_at: float
+def apply_registration(
+    table: RegistrationTable, registration: Registration, last_seen_at: float
 ) -> bool:
-    """Take in a registration, wherever it came from.
+    """Apply a registration from any source.
 
     Args:
         table: The table.
         registration: The registration.
-        heard_at: When the upstream was heard, on the own monotonic clock.
+        last_seen_at: When the upstream sent it, on the own monotonic clock.
 
     Returns:
-        True if it says anything new, so that others must be told.
+        True if anything changed and must be sent to other boxes.
     """
     instance = registration.instance
     if instance in table.gone:
         return False
     if registration.state is UpstreamState.GONE:
         table.known.pop(instance, None)
-        _remember_gone(table, instance)
+        _record_gone(table, instance)
         return True
-    held = table.known.get(instance)
-    if held is None and has_newer_run(table, registration):
+    current = table.known.get(instance)
+    if current is None and has_newer_instance(table, registration):
         return False
-    if held is not None and not _is_same_place(held.registration, registration):
+    if current is not None and not _has_same_address(current.registration, registration):
         return False
-    began_at = run_began(registration, heard_at, table.heartbeat)
-    if held is None:
-        _note_newest(table, registration)
+    started_at = run_began(registration, last_seen_at, table.heartbeat)
+    if current is None:
+        _record_newest(table, registration)
         table.known[instance] = KnownUpstream(
             registration=registration,
-            first_heard_at=heard_at,
-            began_at=began_at,
-            heard_at=heard_at,
+            first_seen_at=last_seen_at,
+            started_at=started_at,
+            last_seen_at=last_seen_at,
         )
         return True
-    held.began_at = min(held.began_at, began_at)
-    held.heard_at = max(held.heard_at, heard_at)
-    if registration.sequence <= held.registration.sequence:
+    current.started_at = min(current.started_at, started_at)
+    current.last_seen_at = max(current.last_seen_at, last_seen_at)
+    if registration.sequence <= current.registration.sequence:
         return False
-    registration = _keep_leaving(held.registration, registration)
-    changed = not _same_content(held.registration, registration)
-    held.registration = registration
+    registration = _keep_draining(current.registration, registration)
+    changed = not _is_equivalent(current.registration, registration)
+    current.registration = registration
     return changed
 
 
-def has_newer_run(table: RegistrationTable, registration: Registration) -> bool:
-    """Tell whether a later run of an upstream is known, so that this one has ended."""
+def has_newer_instance(table: RegistrationTable, registration: Registration) -> bool:
+    """Return whether a later instance of the upstream is known, so this one has exited."""
     newest = table.newest.get(registration.upstream_id)
     if newest is None or newest.instance == registration.instance:
         return False
     return newest.born_ms > registration.born_ms
 
 
-def name_run(table: RegistrationTable, registration: Registration) -> Registration:
-    """Name the run that ends where only the id of its upstream was told: the newest one.
+def resolve_instance(table: RegistrationTable, registration: Registration) -> Registration:
+    """Fill in the newest instance in an exit that names only the id of its upstream.
 
-    Done once, where the upstream was heard: another box may know of a later run by the time that it
-    is told.
+    This is done only at the box that received the exit: by the time it reaches another box, that
+    one may know of a later instance.
     """
     newest = table.newest.get(registration.upstream_id)
     is_named = registration.instance != registration.upstream_id
@@ -128,117 +127,124 @@
     return msgspec.structs.replace(registration, instance=newest.instance)
 
 
-def _note_newest(table: RegistrationTable, registration: Registration) -> None:
-    newest = NewestRun(instance=registration.instance, born_ms=registration.born_ms)
+def _record_newest(table: RegistrationTable, registration: Registration) -> None:
+    newest = NewestInstance(instance=registration.instance, born_ms=registration.born_ms)
     table.newest.pop(registration.upstream_id, None)
     table.newest[registration.upstream_id] = newest
-    while len(table.newest) > GONE_REMEMBERED:
+    while len(table.newest) > MAX_GONE:
         del table.newest[next(iter(table.newest))]
 
 
-def _is_same_place(held: Registration, new: Registration) -> bool:
-    """Tell whether two messages of one run name the same pool and address: a run changes neither.
+def _has_same_address(current: Registration, new: Registration) -> bool:
+    """Return whether two messages of one instance name the same pool and address.
 
-    Those of another writer under its id might, and would take it away from where it serves.
+    An instance changes neither. A message that does comes from another sender under the same id and
+    must not redirect requests.
     """
-    return (held.pool, held.address) == (new.pool, new.address)
+    return (current.pool, current.address) == (new.pool, new.address)
 
 
-def _remember_gone(table: RegistrationTable, instance: str) -> None:
+def _record_gone(table: RegistrationTable, instance: str) -> None:
     table.gone[instance] = None
-    while len(table.gone) > GONE_REMEMBERED:
+    while len(table.gone) > MAX_GONE:
         del table.gone[next(iter(table.gone))]
 
 
-def _keep_leaving(held: Registration, new: Registration) -> Registration:
-    """Keep an upstream that announced its end from being taken for a ready one again."""
-    if held.state is UpstreamState.LEAVING and new.state is UpstreamState.READY:
+def _keep_draining(current: Registration, new: Registration) -> Registration:
+    """Keep an upstream that announced that it is draining from becoming ready again."""
+    if current.state is UpstreamState.LEAVING and new.state is UpstreamState.READY:
         return msgspec.structs.replace(new, state=UpstreamState.LEAVING)
     return new
 
 
-def _same_content(one: Registration, other: Registration) -> bool:
+def _is_equivalent(one: Registration, other: Registration) -> bool:
     return msgspec.structs.replace(one, sequence=other.sequence) == other
 
 
-def end_of(instance: str, upstream: str = "") -> Registration:
-    """Return the registration that says that an upstream has ended.
+def exit_registration(instance: str, upstream: str = "") -> Registration:
+    """Return the registration that reports the exit of an upstream.
 
     Args:
-        instance: Name of the run, or only the id of the upstream.
+        instance: Name of the instance, or only the id of the upstream.
         upstream: Id that it keeps over restarts, if it does.
     """
     return Registration(instance=instance, sequence=0, state=UpstreamState.GONE, upstream=upstream)
 
 
-def tell_all(table: RegistrationTable, now: float) -> tuple[Liveness, ...]:
-    """Return everything that is known, for a box that has just connected."""
+def list_liveness(table: RegistrationTable, now: float) -> tuple[Liveness, ...]:
+    """Return all known upstreams, for a box that has just connected."""
     return tuple(
-        Liveness(registration=item.registration, age=max(0.0, now - item.heard_at))
+        Liveness(registration=item.registration, age=max(0.0, now - item.last_seen_at))
         for item in table.known.values()
     )
 
 
-def take_all(table: RegistrationTable, told: Iterable[Liveness], now: float) -> list[Registration]:
+def merge_liveness(
+    table: RegistrationTable, reported: Iterable[Liveness], now: float
+) -> list[Registration]:
     """Merge what another box knows.
 
     Args:
         table: The own table.
-        told: What the other box told.
+        reported: What the other box reported.
         now: Own monotonic time.
 
     Returns:
-        The registrations that were news.
+        Registrations that changed anything.
     """
     return [
         item.registration
-        for item in told
-        if take_registration(table, item.registration, now - item.age)
+        for item in reported
+        if apply_registration(table, item.registration, now - item.age)
     ]
 
 
-def ages(table: RegistrationTable, now: float) -> dict[str, float]:
-    """Return for each upstream how long ago it was last heard, in seconds."""
-    return {instance: max(0.0, now - item.heard_at) for instance, item in table.known.items()}
+def heartbeat_ages(table: RegistrationTable, now: float) -> dict[str, float]:
+    """Return the seconds since the last heartbeat of each upstream."""
+    return {instance: max(0.0, now - item.last_seen_at) for instance, item in table.known.items()}
 
 
-def take_ages(table: RegistrationTable, told: Iterable[tuple[str, float]], now: float) -> None:
-    """Note how many seconds ago other boxes heard the upstreams that are known here."""
-    for instance, age in told:
-        held = table.known.get(instance)
-        if held is not None:
-            held.heard_at = max(held.heard_at, now - age)
+def merge_ages(table: RegistrationTable, reported: Iterable[tuple[str, float]], now: float) -> None:
+    """Merge heartbeat ages in seconds that another box reported; unknown upstreams are ignored."""
+    for instance, age in reported:
+        current = table.known.get(instance)
+        if current is not None:
+            current.last_seen_at = max(current.last_seen_at, now - age)
 
 
-def superseded(table: RegistrationTable) -> set[str]:
-    """Return the runs after which a newer one has registered, at their address or under their id.
+def superseded_instances(table: RegistrationTable) -> set[str]:
+    """Return the instances that a newer one at the same address or of the same upstream replaced.
 
-    An upstream that crashed says nothing of it.
+    An upstream that crashed does not report its exit.
     """
     newest: dict[str, tuple[float, str]] = {}
     for instance, item in table.known.items():
-        address, run = item.registration.address, (item.began_at, instance)
-        newest[address] = max(newest.get(address, run), run)
-    at_old_address = set(table.known) - {instance for _began_at, instance in newest.values()}
+        address, candidate = item.registration.address, (item.started_at, instance)
+        newest[address] = max(newest.get(address, candidate), candidate)
+    at_old_address = set(table.known) - {instance for _started_at, instance in newest.values()}
     return at_old_address | {
         instance
         for instance, item in table.known.items()
-        if has_newer_run(table, item.registration)
+        if has_newer_instance(table, item.registration)
     }
 
 
-def forget_silent(table: RegistrationTable, now: float, silence: float) -> list[str]:
-    """Drop upstreams that nobody has heard for long; they may register again.
+def drop_inactive(table: RegistrationTable, now: float, timeout_seconds: float) -> list[str]:
+    """Drop upstreams without a recent heartbeat; they may register again.
 
     Args:
         table: The table.
         now: Monotonic time.
-        silence: Seconds without a heartbeat after which an upstream is dropped.
+        timeout_seconds: Time without a heartbeat after which an upstream is dropped.
 
     Returns:
-        Ids that were dropped.
+        Instances that were dropped.
     """
-    silent = [instance for instance, item in table.known.items() if now - item.heard_at > silence]
-    for instance in silent:
+    inactive = [
+        instance
+        for instance, item in table.known.items()
+        if now - item.last_seen_at > timeout_seconds
+    ]
+    for instance in inactive:
         del table.known[instance]
-    return silent
+    return inactive
--- a/src/ledgeladder/coordination/state_machine.py
+++ b/src/ledgeladder/coordination/state_machine.py
@@ -14,12 +14,12 @@
 from ..model import ChangeDocument, Configuration, ResultCode, apply_objects
 from .claims import ClaimTable, claim, complete, expire, release
 from .commands import (
+    Acknowledgement,
     ChangeCommand,
     ChangeResult,
     ClaimCommand,
     Command,
     CompleteCommand,
-    Noted,
     OrderCommand,
     OrderDoneCommand,
     PublishCommand,
@@ -29,19 +29,19 @@
     ReleaseCommand,
     Result,
 )
-from .orders import OrderBook, confirm_order, place_order
-from .quarantine import Quarantine, add_content
+from .orders import OrderTable, confirm_order, place_order
+from .quarantine import Quarantine, add_fingerprint
 
-CHANGES_REMEMBERED: Final = 4096
+MAX_DECIDED_CHANGES: Final = 4096
 """Decided change ids that are kept. A resend of an older one fails by its base version."""
 
-AUDIT_REMEMBERED: Final = 4096
+MAX_AUDIT_ENTRIES: Final = 4096
 """Audit entries that are kept in the state; the log file has them all."""
 
 PLATFORM_OPERATOR: Final = "platform"
 """Name in the audit trail of an operator that publishes whole documents, which name nobody."""
 
-DELTAS_REMEMBERED: Final = 256
+MAX_DELTAS: Final = 256
 """Accepted changes that are kept to send to boxes that lag by a few versions."""
 
 
@@ -115,7 +115,7 @@
     claims: ClaimTable = msgspec.field(default_factory=ClaimTable)
     """Claims of requests that may run at most once."""
 
-    orders: OrderBook = msgspec.field(default_factory=OrderBook)
+    orders: OrderTable = msgspec.field(default_factory=OrderTable)
     """Newest order to each engine."""
 
     clock_ms: int = 0
@@ -163,24 +163,28 @@
         case ChangeCommand():
             return _apply_change(state, command)
         case RefusalCommand():
-            _record(state, command, command.code, state.configuration.version, command.detail)
-            return Noted(accepted=True)
+            _append_audit_entry(
+                state, command, command.code, state.configuration.version, command.detail
+            )
+            return Acknowledgement(accepted=True)
         case ClaimCommand():
             return claim(state.claims, command, state.clock_ms)
         case CompleteCommand():
-            return Noted(accepted=complete(state.claims, command))
+            return Acknowledgement(accepted=complete(state.claims, command))
         case ReleaseCommand():
-            return Noted(accepted=release(state.claims, command))
+            return Acknowledgement(accepted=release(state.claims, command))
         case OrderCommand():
             place_order(state.orders, command.upstream, command.assignment)
-            return Noted(accepted=True)
+            return Acknowledgement(accepted=True)
         case OrderDoneCommand():
-            return Noted(accepted=confirm_order(state.orders, command.upstream, command.index))
+            return Acknowledgement(
+                accepted=confirm_order(state.orders, command.upstream, command.index)
+            )
         case PublishCommand():
             return _publish(state, command)
         case QuarantineCommand():
-            is_new = add_content(state.quarantine, command.content, state.clock_ms)
-            return Noted(accepted=is_new)
+            is_new = add_fingerprint(state.quarantine, command.fingerprint, state.clock_ms)
+            return Acknowledgement(accepted=is_new)
 
 
 def _publish(state: ClusterState, command: PublishCommand) -> PublishResult:
@@ -197,7 +201,7 @@
         detail="published" if is_newer else "not newer; nothing changed",
     )
     state.audit.append(entry)
-    del state.audit[:-AUDIT_REMEMBERED]
+    del state.audit[:-MAX_AUDIT_ENTRIES]
     return PublishResult(version=state.published.version, in_force=is_newer)
 
 
@@ -207,7 +211,7 @@
     return hashlib.blake2b(encoded, digest_size=16).digest()
 
 
-def decided_before(state: ClusterState, change: ChangeDocument) -> ChangeResult | None:
+def previous_result(state: ClusterState, change: ChangeDocument) -> ChangeResult | None:
     """Return the answer to a change id that has been decided, if it has.
 
     Args:
@@ -230,7 +234,7 @@
     return msgspec.structs.replace(result, repeated=True)
 
 
-def judge_base(state: ClusterState, change: ChangeDocument) -> ChangeResult | None:
+def check_base_version(state: ClusterState, change: ChangeDocument) -> ChangeResult | None:
     """Check the base version of a change.
 
     Args:
@@ -254,28 +258,28 @@
 
 def _apply_change(state: ClusterState, command: ChangeCommand) -> ChangeResult:
     change = command.change
-    repeated = decided_before(state, change)
-    if repeated is not None:
-        if repeated.code is ResultCode.CHANGE_ID_REUSED:
-            _record(state, command, repeated.code, repeated.version, repeated.detail)
-        return repeated
-    result = judge_base(state, change)
+    previous = previous_result(state, change)
+    if previous is not None:
+        if previous.code is ResultCode.CHANGE_ID_REUSED:
+            _append_audit_entry(state, command, previous.code, previous.version, previous.detail)
+        return previous
+    result = check_base_version(state, change)
     if result is None:
         state.configuration = apply_objects(state.configuration, change.put, change.remove)
         version = state.configuration.version
         state.deltas.append(Delta(version=version, change=change))
-        del state.deltas[:-DELTAS_REMEMBERED]
-        result = ChangeResult(code=ResultCode.OK, version=version, detail=_summary(change))
-    _record(state, command, result.code, result.version, result.detail)
+        del state.deltas[:-MAX_DELTAS]
+        result = ChangeResult(code=ResultCode.OK, version=version, detail=_summarize(change))
+    _append_audit_entry(state, command, result.code, result.version, result.detail)
     state.decided[change.change_id] = DecidedChange(
         content_digest=change_digest(change), result=result
     )
-    while len(state.decided) > CHANGES_REMEMBERED:
+    while len(state.decided) > MAX_DECIDED_CHANGES:
         del state.decided[next(iter(state.decided))]
     return result
 
 
-def _summary(change: ChangeDocument) -> str:
+def _summarize(change: ChangeDocument) -> str:
     put = change.put
     groups = (put.upstreams, put.pipelines, put.priorities, put.accounts, put.policies)
     names = [item.name for group in groups for item in group]
@@ -288,7 +292,7 @@
     return "; ".join(parts)
 
 
-def _record(
+def _append_audit_entry(
     state: ClusterState,
     command: ChangeCommand | RefusalCommand,
     code: ResultCode,
@@ -307,7 +311,7 @@
         detail=detail,
     )
     state.audit.append(entry)
-    del state.audit[:-AUDIT_REMEMBERED]
+    del state.audit[:-MAX_AUDIT_ENTRIES]
 
 
 def deltas_after(state: ClusterState, version: int) -> list[Delta] | None:
@@ -328,7 +332,7 @@
     return state.deltas[-(current - version) :]
 
 
-def advance(configuration: Configuration, delta: Delta) -> Configuration | None:
+def apply_delta(configuration: Configuration, delta: Delta) -> Configuration | None:
     """Apply a delta to the configuration that a box has in force.
 
     Args:
--- a/src/ledgeladder/coordination/voters.py
+++ b/src/ledgeladder/coordination/voters.py
@@ -9,11 +9,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
 
-LEARNER_HEARD_SECONDS: Final = 1.0
+LEARNER_CONTACT_SECONDS: Final = 1.0
 """A learner that answered within this time, ten heartbeats, may be promoted."""
 
-VOTER_SILENT_SECONDS: Final = 2.0
-"""A voter that has been silent for this long, over one election, gives way to a learner that
+VOTER_TIMEOUT_SECONDS: Final = 2.0
+"""A voter that has been inactive for this long, over one election, gives way to a learner that
 holds the whole log. The platform lets another box fail 4 s after a replacement started."""
 
 
@@ -38,22 +38,22 @@
         The whole new set, or None if nothing is due.
     """
     members = replica.log.members
-    returned = _replace_lost_disk(members, applicants, box_of)
-    if returned is not None:
-        return returned
+    replacement = _replace_lost_disk(members, applicants, box_of)
+    if replacement is not None:
+        return replacement
     learner = next((item for item in members.learners if _caught_up(replica, item, now)), None)
     if learner is not None:
         if len(members.voters) < wanted:
             rest = tuple(item for item in members.learners if item != learner)
             return raft.Members(voters=(*members.voters, learner), learners=rest)
-        silent = _silent_voter(replica, now)
-        if silent is not None:
-            voters = tuple(voter for voter in members.voters if voter != silent)
+        inactive = _inactive_voter(replica, now)
+        if inactive is not None:
+            voters = tuple(voter for voter in members.voters if voter != inactive)
             return raft.Members(voters=voters, learners=members.learners)
-    newcomer = next((item for item in sorted(applicants) if item not in members.everyone), None)
-    if newcomer is None:
+    new_learner = next((item for item in sorted(applicants) if item not in members.everyone), None)
+    if new_learner is None:
         return None
-    return raft.Members(voters=members.voters, learners=(*members.learners, newcomer))
+    return raft.Members(voters=members.voters, learners=(*members.learners, new_learner))
 
 
 def _replace_lost_disk(
@@ -72,16 +72,16 @@
     return None
 
 
-def _silent_voter(replica: raft.Replica, now: float) -> str | None:
+def _inactive_voter(replica: raft.Replica, now: float) -> str | None:
     for voter in replica.log.members.voters:
         progress = replica.progress.get(voter)
-        if progress is not None and progress.heard_at < now - VOTER_SILENT_SECONDS:
+        if progress is not None and progress.heard_at < now - VOTER_TIMEOUT_SECONDS:
             return voter
     return None
 
 
 def _caught_up(replica: raft.Replica, learner: str, now: float) -> bool:
     progress = replica.progress.get(learner)
-    if progress is None or progress.heard_at < now - LEARNER_HEARD_SECONDS:
+    if progress is None or progress.heard_at < now - LEARNER_CONTACT_SECONDS:
         return False
     return progress.match_index >= replica.commit_index > 0
--- a/src/ledgeladder/daemons/content_judge.py
+++ b/src/ledgeladder/daemons/content_judge.py
@@ -108,7 +108,7 @@
         clear_crashes(judge.book, content)
     for content in list(blamed_fingerprints(judge.book, judge.has_ended)):
         ends = sorted(judge.book.suspects.get(content, ()))
-        command = QuarantineCommand(content=content, time_ms=wall_clock_ms())
+        command = QuarantineCommand(fingerprint=content, time_ms=wall_clock_ms())
         outcome = await submit(judge.node, command)
         if isinstance(outcome, Failure):
             detail = outcome.failure().code.name
--- a/src/ledgeladder/daemons/control/operator_api.py
+++ b/src/ledgeladder/daemons/control/operator_api.py
@@ -14,7 +14,7 @@
 
 from ...coordination.commands import ChangeCommand, ChangeResult, RefusalCommand
 from ...coordination.orders import pending_orders
-from ...coordination.state_machine import decided_before, judge_base
+from ...coordination.state_machine import check_base_version, previous_result
 from ...model import (
     ChangeDocument,
     Problem,
@@ -170,7 +170,7 @@
         The accepted result, or why it was refused. Refusals are recorded in the audit trail.
     """
     state = node.state
-    if decided_before(state, change) is None and judge_base(state, change) is None:
+    if previous_result(state, change) is None and check_base_version(state, change) is None:
         problem = _find_change_problem(node, change)
         if problem is not None:
             refusal = RefusalCommand(
--- a/src/ledgeladder/daemons/control/ordering.py
+++ b/src/ledgeladder/daemons/control/ordering.py
@@ -11,7 +11,7 @@
 
 from ...coordination import raft
 from ...coordination.commands import OrderCommand, OrderDoneCommand
-from ...coordination.orders import next_order, pending_orders, wanted_assignment
+from ...coordination.orders import configured_assignment, next_order, pending_orders
 from ...coordination.rests import is_backing_off, record_backoff
 from ...http1 import RestAskedError
 from ...links.messages import FencedOrder
@@ -62,7 +62,7 @@
 
 async def _place_next(node: ControlNode, hub: Hub, client: httpx.AsyncClient) -> None:
     upstreams = node.state.configuration.upstreams
-    managed = [item for item in upstreams.values() if wanted_assignment(item) is not None]
+    managed = [item for item in upstreams.values() if configured_assignment(item) is not None]
     if not managed or pending_orders(node.state.orders):
         return
     live: set[str] = set()
--- a/src/ledgeladder/daemons/entry/follower.py
+++ b/src/ledgeladder/daemons/entry/follower.py
@@ -9,7 +9,7 @@
 import anyio
 import msgspec
 
-from ...coordination.state_machine import advance
+from ...coordination.state_machine import apply_delta
 from ...links import keep_link, post_to_all
 from ...links.messages import (
     DeltaPush,
@@ -145,7 +145,7 @@
     for delta in push.deltas:
         if delta.version <= context.configuration.version:
             continue
-        following = advance(context.configuration, delta)
+        following = apply_delta(context.configuration, delta)
         if following is None:
             link.post(Pull(version=context.configuration.version))
             return
--- a/src/ledgeladder/daemons/gateway/control_link.py
+++ b/src/ledgeladder/daemons/gateway/control_link.py
@@ -9,11 +9,11 @@
 import anyio
 from returns.result import Failure
 
-from ...coordination.freshness import ask, take_answer
+from ...coordination.freshness import handle_reply, open_query
 from ...coordination.upstream_order import (
     LoadFigures,
-    UpstreamOrder,
-    apply_change,
+    UpstreamIndex,
+    apply_index_change,
     unpack_ages,
     unpack_loads,
 )
@@ -84,7 +84,7 @@
         address: IP number of the control box.
         link: The link.
     """
-    order = UpstreamOrder()
+    order = UpstreamIndex()
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_poll_version, state, link)
         tasks.start_soon(_report_load, state, address, link)
@@ -101,7 +101,7 @@
                 case OrderOfUpstreams():
                     order = message.order
                 case ChangedOrder():
-                    order = apply_change(order, message.change)
+                    order = apply_index_change(order, message.change)
                 case RegistrationAges():
                     _apply_ages(state, unpack_ages(order, message.order, message.ages))
                 case LossNews():
@@ -129,7 +129,7 @@
     """Request a control box's document once, then poll for the newest version until cancelled."""
     link.post(DocumentPull(version=state.version))
     while True:
-        link.post(VersionQuery(call=ask(state.freshness, anyio.current_time())))
+        link.post(VersionQuery(call=open_query(state.freshness, anyio.current_time())))
         await anyio.sleep(VERSION_POLL_SECONDS)
 
 
@@ -182,7 +182,7 @@
 
 
 def _handle_version_reply(state: GatewayState, link: Link, reply: VersionReply) -> None:
-    take_answer(state.freshness, reply.call, reply.version, reply.age)
+    handle_reply(state.freshness, reply.call, reply.version, reply.age)
     record_entry_count(state, reply.entries, anyio.current_time())
     if reply.version > state.version:
         link.post(DocumentPull(version=state.version))
--- a/src/ledgeladder/daemons/registry/http_api.py
+++ b/src/ledgeladder/daemons/registry/http_api.py
@@ -10,7 +10,7 @@
 import anyio
 from returns.result import Failure
 
-from ...coordination.registrations import name_run, take_registration
+from ...coordination.registrations import apply_registration, resolve_instance
 from ...http1 import HttpSite
 from ...model import Problem, ResultCode
 from ...model.registration import UpstreamState
@@ -86,8 +86,8 @@
         detail = f"{registration.instance}: no pool {registration.pool!r}"
         await write_problem(exchange, Problem(code=ResultCode.REGISTRATION_INVALID, detail=detail))
         return
-    registration = name_run(state.table, registration)
-    if take_registration(state.table, registration, anyio.current_time()):
+    registration = resolve_instance(state.table, registration)
+    if apply_registration(state.table, registration, anyio.current_time()):
         tell_registration(state, registration, to_peers=True)
         if registration.state is not UpstreamState.READY or registration.sequence <= 1:
             logger.info(
--- a/src/ledgeladder/daemons/registry/mesh.py
+++ b/src/ledgeladder/daemons/registry/mesh.py
@@ -10,10 +10,15 @@
 
 import anyio
 
-from ...coordination.engine_orders import hear
-from ...coordination.loss_evidence import is_worth_telling, note_report
-from ...coordination.registrations import take_ages, take_all, tell_all
-from ...coordination.upstream_order import UpstreamOrder, apply_change, unpack_ages, unpack_loads
+from ...coordination.engine_orders import record_reported_order
+from ...coordination.loss_evidence import record_report, should_broadcast
+from ...coordination.registrations import list_liveness, merge_ages, merge_liveness
+from ...coordination.upstream_order import (
+    UpstreamIndex,
+    apply_index_change,
+    unpack_ages,
+    unpack_loads,
+)
 from ...links import post_to_all
 from ...links.messages import (
     ChangedOrder,
@@ -83,7 +88,7 @@
         address: IP number of the other box.
         link: The link.
     """
-    link.post(RegistrationNews(told=tell_all(state.table, anyio.current_time())))
+    link.post(RegistrationNews(told=list_liveness(state.table, anyio.current_time())))
     link.post(OrderOfUpstreams(order=state.order))
     link.post(hint_of(state))
     async with anyio.create_task_group() as tasks:
@@ -126,7 +131,7 @@
         state.accepted_peers[id(link)] = link
     else:
         state.accepted[id(link)] = link
-        link.post(RegistrationNews(told=tell_all(state.table, anyio.current_time())))
+        link.post(RegistrationNews(told=list_liveness(state.table, anyio.current_time())))
         link.post(OrderOfUpstreams(order=state.order))
         link.post(quarantine_news(judge_of(state)))
         link.post(limit_news(lender_of(state)))
@@ -158,15 +163,17 @@
         case CommandRequest() if is_control:
             tasks.start_soon(answer_command, state, link, message)
         case RegistrationNews() if is_control:
-            for registration in take_all(state.table, message.told, anyio.current_time()):
+            for registration in merge_liveness(state.table, message.told, anyio.current_time()):
                 tell_registration(state, registration, to_peers=False)
         case OrderOfUpstreams() if is_control:
             state.peer_orders[id(link)] = message.order
         case ChangedOrder() if is_control:
-            state.peer_orders[id(link)] = apply_change(_peer_order(state, link), message.change)
+            state.peer_orders[id(link)] = apply_index_change(
+                _peer_order(state, link), message.change
+            )
         case RegistrationAges() if is_control:
             told = unpack_ages(_peer_order(state, link), message.order, message.ages)
-            take_ages(state.table, told, anyio.current_time())
+            merge_ages(state.table, told, anyio.current_time())
         case PeerHint() if is_control:
             add_peers(state.peers, message.addresses, message.domains)
         case LoadReport():
@@ -179,7 +186,7 @@
                 at=anyio.current_time(),
             )
         case OrderNews() if is_control:
-            hear(
+            record_reported_order(
                 state.ledger,
                 message.instance,
                 message.holding,
@@ -208,9 +215,9 @@
             logger.warning("message of the wrong kind", extra={"peer": link.peer_box})
 
 
-def _peer_order(state: RegistryState, link: Link) -> UpstreamOrder:
+def _peer_order(state: RegistryState, link: Link) -> UpstreamIndex:
     """Return the order in which a control box tells figures."""
-    return state.peer_orders.get(id(link), UpstreamOrder())
+    return state.peer_orders.get(id(link), UpstreamIndex())
 
 
 def _take_lost_report(state: RegistryState, link: Link, instance: str) -> None:
@@ -219,16 +226,16 @@
     if known is None or link.peer is None:
         return
     now = anyio.current_time()
-    note_report(state.losses, instance, link.peer_box, link.peer.failure_domain, now)
+    record_report(state.losses, instance, link.peer_box, link.peer.failure_domain, now)
     domain = known.registration.failure_domain
-    if not is_worth_telling(state.losses, instance, domain, known.heard_at, now):
+    if not should_broadcast(state.losses, instance, domain, known.last_seen_at, now):
         return
     logger.warning(
         "engine lost",
         extra={
             "upstream": instance,
             "witnesses": len(state.losses.reports[instance]),
-            "heard_before": round(now - known.heard_at, 3),
+            "heard_before": round(now - known.last_seen_at, 3),
         },
     )
     post_to_all(state.accepted.values(), LossNews(instance=instance))
--- a/src/ledgeladder/daemons/registry/newest.py
+++ b/src/ledgeladder/daemons/registry/newest.py
@@ -11,7 +11,7 @@
 
 from ...coordination import raft
 from ...coordination.commands import PublishCommand, PublishResult
-from ...coordination.freshness import ask, take_answer
+from ...coordination.freshness import handle_reply, open_query
 from ...links.messages import CommandReply, CommandRequest, VersionQuery, VersionReply
 from ...model import Problem, ResultCode
 from .. import clock
@@ -90,14 +90,14 @@
 
 def take_version_reply(state: RegistryState, reply: VersionReply) -> None:
     """Note an answer of another control box; only the leader's carries an age and counts."""
-    take_answer(state.freshness, reply.call, reply.version, reply.age)
+    handle_reply(state.freshness, reply.call, reply.version, reply.age)
 
 
 def ask_leader(state: RegistryState) -> None:
     """Ask the leader which version is the newest, if it is known and reachable."""
     link = state.peers.links.get(state.node.leader_box)
     if link is not None:
-        link.post(VersionQuery(call=ask(state.freshness, anyio.current_time())))
+        link.post(VersionQuery(call=open_query(state.freshness, anyio.current_time())))
 
 
 async def keep_asking(state: RegistryState) -> None:
--- a/src/ledgeladder/daemons/registry/order_sending.py
+++ b/src/ledgeladder/daemons/registry/order_sending.py
@@ -8,7 +8,7 @@
 import anyio
 
 from ...coordination import raft
-from ...coordination.engine_orders import OrderOutcome, note_outcome
+from ...coordination.engine_orders import OrderOutcome, record_outcome
 from ...coordination.rests import is_backing_off, record_backoff
 from ...http1 import AnswerBrokenError, ConnectError, RestAskedError, connect
 from ...links import post_to_all
@@ -54,7 +54,7 @@
     news = OrderNews(instance=engine.instance, holding=holding, load_seconds=seconds)
     post_to_all(state.peers.links.values(), news)
     outcome = await send_order(state, engine, holding, fence)
-    note_outcome(state.ledger, engine.instance, outcome, fence)
+    record_outcome(state.ledger, engine.instance, outcome, fence)
     logger.info(
         "layers ordered",
         extra={
@@ -78,11 +78,11 @@
 
     Returns:
         What the engine said; `NO_ANSWER` also if the order was not sent: the engine could not be
-        reached, carries out another one, or this box leads no more. `RESTING` if it wants nothing;
+        reached, carries out another one, or this box leads no more. `BACKING_OFF` if it wants none;
         the order is due again later, as any that was not answered.
     """
     if is_backing_off(state.rests, engine.instance, clock.now()):
-        return OrderOutcome.RESTING
+        return OrderOutcome.BACKING_OFF
     note_own_calls(lender_of(state), engine.instance, CALLS_OF_AN_ORDER)
     try:
         return await _send_order(state, engine, holding, fence)
@@ -92,7 +92,7 @@
             "engine asks for rest",
             extra={"upstream": engine.instance, "seconds": round(error.seconds, 3)},
         )
-        return OrderOutcome.RESTING
+        return OrderOutcome.BACKING_OFF
 
 
 async def _send_order(
@@ -115,7 +115,7 @@
     try:
         if not may_order(state) or state.node.replica.term != fence:
             return OrderOutcome.NO_ANSWER
-        call = place_call(engine.instance, holding, fence, report.orders_taken, wait=True)
+        call = place_call(engine.instance, holding, fence, report.started_orders, wait=True)
         with anyio.fail_after(CALL_SECONDS):
             head = await send_call(connection, call)
         return read_outcome(head.status_code)
--- a/src/ledgeladder/daemons/registry/placing.py
+++ b/src/ledgeladder/daemons/registry/placing.py
@@ -9,15 +9,15 @@
 import msgspec
 
 from ...coordination.engine_orders import (
-    due,
-    follow,
-    note_sent,
-    settle,
-    take_over,
+    is_due,
+    reconcile,
+    record_sent,
+    resume_reported_orders,
+    step_down,
 )
-from ...coordination.gathering import Gathering
-from ...coordination.loss_evidence import seems_lost
-from ...coordination.registrations import superseded
+from ...coordination.gathering import InitialDiscovery
+from ...coordination.loss_evidence import is_presumed_lost
+from ...coordination.registrations import superseded_instances
 from ...model.registration import UpstreamState
 from ...routing.group_plan import max_layers
 from ...routing.load_time import load_seconds
@@ -63,14 +63,14 @@
     A box that does not lead forgets its own orders. A new leader plans from what engines report and
     from the orders that the last one told it.
     """
-    gatherings: dict[str, Gathering] = {}
+    gatherings: dict[str, InitialDiscovery] = {}
     heartbeat = state.settings.bounds.heartbeat_ms / 1000.0
     while True:
         await anyio.sleep(LOOK_SECONDS)
         if not may_order(state) or state.configuration is None:
-            follow(state.ledger, anyio.current_time())
+            step_down(state.ledger, anyio.current_time())
             continue
-        take_over(state.ledger)
+        resume_reported_orders(state.ledger)
         pools = [pool for pool in state.configuration.pools.values() if pool.engine is not None]
         engines = {pool.name: _engines(state, pool) for pool in pools}
         pools = [_with_slots(pool, engines[pool.name]) for pool in pools]
@@ -79,7 +79,7 @@
         async with anyio.create_task_group() as tasks:
             for pool in pools:
                 members = engines[pool.name]
-                gathering = gatherings.setdefault(pool.name, Gathering(heartbeat=heartbeat))
+                gathering = gatherings.setdefault(pool.name, InitialDiscovery(heartbeat=heartbeat))
                 if not _is_gathered(gathering, pool, members):
                     continue
                 empty = [item for item in members if not item.holdings]
@@ -91,14 +91,18 @@
                     tasks.start_soon(_order_in_turn, limiter, state, engine, holding)
 
 
-def _is_gathered(gathering: Gathering, pool: UpstreamPool, engines: list[Registration]) -> bool:
+def _is_gathered(
+    gathering: InitialDiscovery, pool: UpstreamPool, engines: list[Registration]
+) -> bool:
     """Tell whether enough engines of a pool have come to plan over them."""
     assert pool.engine is not None
     profile = pool.engine
     serves = any(item.holdings for item in engines)
     # Engines that serve are enough. Adding up all of them in each look is work for the start only.
     is_enough = serves or profile.layers <= sum(max_layers(profile, item.card) for item in engines)
-    return gathering.is_over(len(engines), anyio.current_time(), serves=serves, is_enough=is_enough)
+    return gathering.is_complete(
+        len(engines), anyio.current_time(), is_serving=serves, can_hold_model=is_enough
+    )
 
 
 def _with_slots(pool: UpstreamPool, engines: list[Registration]) -> UpstreamPool:
@@ -144,7 +148,7 @@
     now = anyio.current_time()
     names = {item.instance for item in engines}
     open_loads = sum(
-        name in names and not due(state.ledger, name, now) for name in state.ledger.sent
+        name in names and not is_due(state.ledger, name, now) for name in state.ledger.sent
     )
     return orders[: max(0, pool.engine.loads_at_once - open_loads)]
 
@@ -164,7 +168,7 @@
     for engine, holding in orders:
         layers = _layers_to_load(engine, holding)
         seconds = load_seconds(profile, layers, loads)
-        note_sent(state.ledger, engine.instance, holding, now, seconds)
+        record_sent(state.ledger, engine.instance, holding, now, seconds)
 
 
 def _layers_to_load(engine: Registration, holding: Holding) -> int:
@@ -175,7 +179,7 @@
 
 def _engines(state: RegistryState, pool: UpstreamPool) -> list[Registration]:
     """Return the engines of a pool; one whose address a newer run has taken counts as leaving."""
-    old = superseded(state.table)
+    old = superseded_instances(state.table)
     return [
         (
             msgspec.structs.replace(item.registration, state=UpstreamState.LEAVING)
@@ -189,7 +193,7 @@
 
 def _settle(state: RegistryState, engines: list[Registration]) -> None:
     reported = {item.instance: item.holdings for item in engines}
-    for instance in settle(state.ledger, reported, anyio.current_time()):
+    for instance in reconcile(state.ledger, reported, anyio.current_time()):
         logger.info("engine holds its layers", extra={"upstream": instance})
 
 
@@ -225,7 +229,7 @@
     return [
         (by_instance[instance], holding)
         for instance, holding in wanted.items()
-        if not by_instance[instance].holdings and due(state.ledger, instance, now)
+        if not by_instance[instance].holdings and is_due(state.ledger, instance, now)
     ]
 
 
@@ -293,7 +297,7 @@
         if _is_newcomer(state, item)
         and (item.card, item.failure_domain) not in leaving
         and (known := state.table.known.get(item.instance)) is not None
-        and now - known.first_heard_at < NEWCOMER_SECONDS
+        and now - known.first_seen_at < NEWCOMER_SECONDS
     }
 
 
@@ -313,7 +317,7 @@
     orders = [
         (up[instance], order.holding)
         for instance, order in state.ledger.sent.items()
-        if instance in up and due(state.ledger, instance, now)
+        if instance in up and is_due(state.ledger, instance, now)
     ]
     moves = plan_repairs(pool.engine, _placed(state, list(up.values())))
     for spare, holding in moves:
@@ -342,13 +346,13 @@
     if known is None or engine.state is not UpstreamState.READY:
         return False
     heartbeat = state.settings.bounds.heartbeat_ms / 1000.0
-    return not seems_lost(
+    return not is_presumed_lost(
         state.losses,
         engine.instance,
-        known.heard_at,
+        known.last_seen_at,
         now,
         heartbeat,
-        heard_until=until,
+        seen_until=until,
     )
 
 
--- a/src/ledgeladder/daemons/registry/state.py
+++ b/src/ledgeladder/daemons/registry/state.py
@@ -12,7 +12,7 @@
 from ...coordination.loss_evidence import LossEvidence
 from ...coordination.registrations import RegistrationTable
 from ...coordination.rests import Backoffs
-from ...coordination.upstream_order import UpstreamOrder
+from ...coordination.upstream_order import UpstreamIndex
 from ...model.registration import Liveness
 from ..content_judge import ContentJudge
 from ..rate_lender import RateLender
@@ -138,10 +138,10 @@
     shares: dict[int, ReportedShare] = msgspec.field(default_factory=dict)
     """Newest share of each other control box, by `id` of its link."""
 
-    order: UpstreamOrder = UpstreamOrder()
+    order: UpstreamIndex = UpstreamIndex()
     """Order in which figures of upstreams are told to other boxes."""
 
-    peer_orders: dict[int, UpstreamOrder] = msgspec.field(default_factory=dict)
+    peer_orders: dict[int, UpstreamIndex] = msgspec.field(default_factory=dict)
     """The order in which each other control box tells them, by `id` of its link."""
 
     freshness: Freshness = msgspec.field(default_factory=Freshness)
--- a/src/ledgeladder/daemons/registry/telling.py
+++ b/src/ledgeladder/daemons/registry/telling.py
@@ -7,13 +7,13 @@
 
 import anyio
 
-from ...coordination.loss_evidence import forget_engines
-from ...coordination.registrations import ages, forget_silent
+from ...coordination.loss_evidence import retain_engines
+from ...coordination.registrations import drop_inactive, heartbeat_ages
 from ...coordination.upstream_order import (
     AGE_BYTES,
     LOAD_BYTES,
-    apply_change,
-    change_order,
+    apply_index_change,
+    diff_index,
     pack_ages,
     pack_loads,
 )
@@ -34,7 +34,7 @@
 from .load_sums import drop_old_reports, known_entries, own_loads, sum_loads
 
 if TYPE_CHECKING:
-    from ...coordination.upstream_order import UpstreamOrder
+    from ...coordination.upstream_order import UpstreamIndex
     from ...model.registration import Registration
     from .state import RegistryState
 
@@ -108,11 +108,11 @@
         _tell_news(state, anyio.current_time())
 
 
-def _renew_order(state: RegistryState) -> UpstreamOrder:
+def _renew_order(state: RegistryState) -> UpstreamIndex:
     """Bring the own order up to date, and tell all who are told figures what changed in it."""
-    change = change_order(state.order, state.table.known)
+    change = diff_index(state.order, state.table.known)
     if change is not None:
-        state.order = apply_change(state.order, change)
+        state.order = apply_index_change(state.order, change)
         links = [*state.peers.links.values(), *state.accepted.values()]
         post_to_all(links, ChangedOrder(change=change))
     return state.order
@@ -132,15 +132,17 @@
     while True:
         await anyio.sleep(AGES_SECONDS)
         now = anyio.current_time()
-        for instance in forget_silent(state.table, now, FORGET_SECONDS):
+        for instance in drop_inactive(state.table, now, FORGET_SECONDS):
             logger.warning(
                 "upstream not heard", extra={"upstream": instance, "seconds": FORGET_SECONDS}
             )
-        forget_engines(state.losses, set(state.table.known))
+        retain_engines(state.losses, set(state.table.known))
         add_peers(state.peers, _known_controls(state))
         follow_votes(state)
         order = _renew_order(state)
-        told = RegistrationAges(order=order.number, ages=pack_ages(order, ages(state.table, now)))
+        told = RegistrationAges(
+            order=order.number, ages=pack_ages(order, heartbeat_ages(state.table, now))
+        )
         post_to_all(state.peers.links.values(), told)
         if now - entries_told_at >= _ages_interval(len(order.instances)):
             post_to_all(state.accepted.values(), told)
--- a/src/ledgeladder/daemons/registry/upstream_ends.py
+++ b/src/ledgeladder/daemons/registry/upstream_ends.py
@@ -6,8 +6,8 @@
 
 import anyio
 
-from ...coordination.loss_evidence import seems_lost
-from ...coordination.registrations import superseded
+from ...coordination.loss_evidence import is_presumed_lost
+from ...coordination.registrations import superseded_instances
 from ...links import post_to_all
 from ..content_judge import ContentJudge
 from .state import heard_until
@@ -36,13 +36,13 @@
     known = state.table.known.get(instance)
     if known is None:
         return True
-    is_lost = seems_lost(
+    is_lost = is_presumed_lost(
         state.losses,
         instance,
-        known.heard_at,
+        known.last_seen_at,
         anyio.current_time(),
         state.table.heartbeat,
-        heard_until=heard_until(state),
+        seen_until=heard_until(state),
     )
     # Last, since it looks at every upstream.
-    return is_lost or instance in superseded(state.table)
+    return is_lost or instance in superseded_instances(state.table)
--- a/src/ledgeladder/links/messages.py
+++ b/src/ledgeladder/links/messages.py
@@ -11,7 +11,7 @@
 from ..coordination.raft import Envelope
 from ..coordination.rate_limit import ReportedLimit
 from ..coordination.state_machine import Delta
-from ..coordination.upstream_order import LoadFigures, OrderChange, UpstreamOrder
+from ..coordination.upstream_order import IndexChange, LoadFigures, UpstreamIndex
 from ..model import Configuration, ResultCode
 from ..model.registration import Holding, Liveness
 
@@ -180,13 +180,13 @@
 class OrderOfUpstreams(msgspec.Struct, frozen=True, kw_only=True, tag="known", array_like=True):
     """The order in which the sender tells figures of upstreams from now on."""
 
-    order: UpstreamOrder
+    order: UpstreamIndex
 
 
 class ChangedOrder(msgspec.Struct, frozen=True, kw_only=True, tag="known+", array_like=True):
     """What has changed in the order that the sender told before."""
 
-    change: OrderChange
+    change: IndexChange
 
 
 class RegistrationAges(msgspec.Struct, frozen=True, kw_only=True, tag="ages", array_like=True):
--- a/src/ledgeladder/platform/engine_calls.py
+++ b/src/ledgeladder/platform/engine_calls.py
@@ -36,7 +36,7 @@
 
 _OUTCOMES: Final = {
     200: OrderOutcome.DONE,
-    202: OrderOutcome.BEGUN,
+    202: OrderOutcome.STARTED,
     404: OrderOutcome.UNKNOWN_REQUEST,
     409: OrderOutcome.CONFLICT,
     412: OrderOutcome.FENCED,
@@ -106,7 +106,7 @@
     """Decode an engine's report; None if it cannot be read.
 
     >>> read_report(b'{"pace":4.0,"busy":false}')
-    EngineReport(slowdown=4.0, orders_taken=0, is_busy=False)
+    EngineReport(slowdown=4.0, started_orders=0, is_busy=False)
     >>> read_report(b"oops") is None
     True
     """
@@ -114,4 +114,4 @@
         report = _REPORT_DECODER.decode(body)
     except msgspec.DecodeError:
         return None
-    return EngineReport(slowdown=report.pace, orders_taken=report.sequence, is_busy=report.busy)
+    return EngineReport(slowdown=report.pace, started_orders=report.sequence, is_busy=report.busy)
--- a/src/ledgeladder/platform/registrations.py
+++ b/src/ledgeladder/platform/registrations.py
@@ -8,7 +8,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from ..coordination.registrations import end_of
+from ..coordination.registrations import exit_registration
 from ..model import Problem, ResultCode
 from ..model.registration import Holding, Registration, UpstreamState
 
@@ -93,7 +93,7 @@
     if body:
         with contextlib.suppress(msgspec.DecodeError, UnicodeDecodeError, RecursionError):
             born_ms = _FAREWELL_DECODER.decode(body).born
-    return end_of(run_name(instance, born_ms), instance)
+    return exit_registration(run_name(instance, born_ms), instance)
 
 
 def decode_heartbeat(instance: str, body: bytes) -> Result[Registration, Problem]:
--- a/tests/coordination/test_claims.py
+++ b/tests/coordination/test_claims.py
@@ -92,15 +92,15 @@
 
 
 def test_catches_a_reused_claim(monkeypatch: pytest.MonkeyPatch) -> None:
-    original = table_module._judge_standing
+    original = table_module._evaluate_existing
 
-    def generous(standing, command, clock_ms):
-        verdict = original(standing, command, clock_ms)
+    def generous(existing, command, clock_ms):
+        verdict = original(existing, command, clock_ms)
         if verdict.verdict is ClaimVerdict.UNKNOWN:
             return ClaimResult(verdict=ClaimVerdict.GRANTED)
         return verdict
 
-    monkeypatch.setattr(table_module, "_judge_standing", generous)
+    monkeypatch.setattr(table_module, "_evaluate_existing", generous)
     with pytest.raises(AssertionError, match="two attempts"):
         test_at_most_one_grant_in_random_histories()
 
--- a/tests/coordination/test_engine_orders.py
+++ b/tests/coordination/test_engine_orders.py
@@ -1,21 +1,21 @@
-"""What engines say to orders of a leader that was overtaken."""
+"""Outcomes of orders to engines, also across changes of the leader."""
 
 from __future__ import annotations
 
 import pytest
 
 from ledgeladder.coordination.engine_orders import (
-    CONFIRM_SECONDS,
-    FORGET_SECONDS,
+    CONFIRM_TIMEOUT_SECONDS,
+    MOVE_TIMEOUT_SECONDS,
     OrderLedger,
     OrderOutcome,
-    due,
-    follow,
-    hear,
-    note_outcome,
-    note_sent,
-    settle,
-    take_over,
+    is_due,
+    reconcile,
+    record_outcome,
+    record_reported_order,
+    record_sent,
+    resume_reported_orders,
+    step_down,
 )
 from ledgeladder.model.registration import Holding
 
@@ -23,97 +23,97 @@
 
 
 @pytest.mark.parametrize("is_kept", [True, False])
-def test_fenced_answer_ends_the_orders_of_its_term(is_kept: bool) -> None:
-    """Also the answer to an order that is not kept any more."""
+def test_fenced_answer_stops_orders_of_its_term(is_kept: bool) -> None:
+    """Applies also to the answer to an order that is no longer kept."""
     ledger = OrderLedger()
     if is_kept:
-        note_sent(ledger, "i-1", LAYERS, 0.0)
-    note_outcome(ledger, "i-1", OrderOutcome.FENCED, 4)
+        record_sent(ledger, "i-1", LAYERS, 0.0)
+    record_outcome(ledger, "i-1", OrderOutcome.FENCED, 4)
     assert ledger.fenced_terms == {4}
 
 
-def test_order_without_a_report_is_sent_again_and_a_confirmed_one_is_not() -> None:
+def test_unconfirmed_order_is_sent_again_and_a_confirmed_one_is_not() -> None:
     ledger = OrderLedger()
-    assert due(ledger, "i-1", 0.0)
-    note_sent(ledger, "i-1", LAYERS, 0.0)
-    assert not due(ledger, "i-1", CONFIRM_SECONDS - 0.1)
-    assert due(ledger, "i-1", CONFIRM_SECONDS)
-    assert settle(ledger, {"i-1": ()}, 1.0) == []
-    assert settle(ledger, {"i-1": (LAYERS,)}, 2.0) == ["i-1"]
+    assert is_due(ledger, "i-1", 0.0)
+    record_sent(ledger, "i-1", LAYERS, 0.0)
+    assert not is_due(ledger, "i-1", CONFIRM_TIMEOUT_SECONDS - 0.1)
+    assert is_due(ledger, "i-1", CONFIRM_TIMEOUT_SECONDS)
+    assert reconcile(ledger, {"i-1": ()}, 1.0) == []
+    assert reconcile(ledger, {"i-1": (LAYERS,)}, 2.0) == ["i-1"]
     assert not ledger.sent
 
 
-def test_order_to_another_run_or_to_one_that_ended_is_forgotten() -> None:
+def test_order_to_another_instance_or_to_an_exited_one_is_dropped() -> None:
     ledger = OrderLedger()
-    note_sent(ledger, "i-1", LAYERS, 0.0)
-    note_sent(ledger, "i-2", LAYERS, 0.0)
-    note_outcome(ledger, "i-1", OrderOutcome.WRONG_UPSTREAM, 4)
+    record_sent(ledger, "i-1", LAYERS, 0.0)
+    record_sent(ledger, "i-2", LAYERS, 0.0)
+    record_outcome(ledger, "i-1", OrderOutcome.WRONG_UPSTREAM, 4)
     assert set(ledger.sent) == {"i-2"}
-    assert settle(ledger, {"i-1": ()}, 1.0) == []
+    assert reconcile(ledger, {"i-1": ()}, 1.0) == []
     assert not ledger.sent
 
 
-def test_moved_engine_is_not_taken_for_settled_or_empty_while_it_loads() -> None:
-    """It reports its old layers first, then none: planning must count the layers it is to hold."""
+def test_moved_engine_counts_as_holding_the_ordered_layers_while_it_loads() -> None:
+    """It reports its old layers, then none, while planning must count the ordered layers."""
     ledger = OrderLedger()
     old = Holding(first=40, end=49)
-    note_sent(ledger, "i-1", LAYERS, 0.0)
-    assert settle(ledger, {"i-1": (old,)}, 1.0) == []
-    assert settle(ledger, {"i-1": ()}, 2.0) == []
+    record_sent(ledger, "i-1", LAYERS, 0.0)
+    assert reconcile(ledger, {"i-1": (old,)}, 1.0) == []
+    assert reconcile(ledger, {"i-1": ()}, 2.0) == []
     assert ledger.sent["i-1"].holding == LAYERS
-    assert settle(ledger, {"i-1": (LAYERS,)}, 3.0) == ["i-1"]
+    assert reconcile(ledger, {"i-1": (LAYERS,)}, 3.0) == ["i-1"]
 
 
-def test_move_that_is_not_carried_out_is_planned_anew() -> None:
+def test_move_that_is_not_carried_out_is_dropped() -> None:
     ledger = OrderLedger()
     old = Holding(first=40, end=49)
-    note_sent(ledger, "i-1", LAYERS, 0.0)
-    note_sent(ledger, "i-1", LAYERS, CONFIRM_SECONDS)
-    assert settle(ledger, {"i-1": (old,)}, FORGET_SECONDS - 0.1) == []
+    record_sent(ledger, "i-1", LAYERS, 0.0)
+    record_sent(ledger, "i-1", LAYERS, CONFIRM_TIMEOUT_SECONDS)
+    assert reconcile(ledger, {"i-1": (old,)}, MOVE_TIMEOUT_SECONDS - 0.1) == []
     assert "i-1" in ledger.sent
-    assert settle(ledger, {"i-1": (old,)}, FORGET_SECONDS + 0.1) == []
+    assert reconcile(ledger, {"i-1": (old,)}, MOVE_TIMEOUT_SECONDS + 0.1) == []
     assert not ledger.sent
 
 
-def test_order_that_does_not_fit_the_engine_is_forgotten() -> None:
+def test_conflicting_order_is_dropped() -> None:
     ledger = OrderLedger()
-    note_sent(ledger, "i-1", LAYERS, 0.0)
-    note_outcome(ledger, "i-1", OrderOutcome.CONFLICT, 4)
+    record_sent(ledger, "i-1", LAYERS, 0.0)
+    record_outcome(ledger, "i-1", OrderOutcome.CONFLICT, 4)
     assert not ledger.sent
 
 
-def test_load_that_has_begun_is_not_ordered_again_while_it_may_still_run() -> None:
-    """Ordered again it begins anew: one engine took 11 s for a load of 2 s."""
+def test_load_is_not_ordered_again_while_it_may_still_run() -> None:
+    """An order that is sent again restarts the load."""
     ledger = OrderLedger()
-    note_sent(ledger, "i-1", LAYERS, 0.0, load_seconds=3.0)
-    assert due(ledger, "i-1", CONFIRM_SECONDS)
-    note_outcome(ledger, "i-1", OrderOutcome.BEGUN, 4)
-    assert not due(ledger, "i-1", CONFIRM_SECONDS + 5.9)
-    assert due(ledger, "i-1", CONFIRM_SECONDS + 6.0)
+    record_sent(ledger, "i-1", LAYERS, 0.0, load_seconds=3.0)
+    assert is_due(ledger, "i-1", CONFIRM_TIMEOUT_SECONDS)
+    record_outcome(ledger, "i-1", OrderOutcome.STARTED, 4)
+    assert not is_due(ledger, "i-1", CONFIRM_TIMEOUT_SECONDS + 5.9)
+    assert is_due(ledger, "i-1", CONFIRM_TIMEOUT_SECONDS + 6.0)
 
 
-def test_order_without_an_answer_is_due_sooner_than_one_that_has_begun() -> None:
+def test_order_without_an_answer_is_due_sooner_than_one_that_loads() -> None:
     ledger = OrderLedger()
-    note_sent(ledger, "i-1", LAYERS, 0.0, load_seconds=3.0)
-    note_outcome(ledger, "i-1", OrderOutcome.NO_ANSWER, 4)
-    assert due(ledger, "i-1", CONFIRM_SECONDS)
+    record_sent(ledger, "i-1", LAYERS, 0.0, load_seconds=3.0)
+    record_outcome(ledger, "i-1", OrderOutcome.NO_ANSWER, 4)
+    assert is_due(ledger, "i-1", CONFIRM_TIMEOUT_SECONDS)
 
 
-def test_next_leader_does_not_order_again_what_loads() -> None:
-    """An order that is repeated begins the load anew; leaders change in the middle of loads."""
+def test_next_leader_does_not_repeat_orders_that_load() -> None:
+    """An order that is sent again restarts the load, and the leader may change during a load."""
     ledger = OrderLedger()
-    hear(ledger, "i-1", LAYERS, 3.0, 10.0)
-    follow(ledger, 11.0)
-    take_over(ledger)
-    assert not due(ledger, "i-1", 15.0)
-    assert due(ledger, "i-1", 10.0 + CONFIRM_SECONDS + 6.0)
-    assert settle(ledger, {"i-1": (LAYERS,)}, 15.0) == ["i-1"]
+    record_reported_order(ledger, "i-1", LAYERS, 3.0, 10.0)
+    step_down(ledger, 11.0)
+    resume_reported_orders(ledger)
+    assert not is_due(ledger, "i-1", 15.0)
+    assert is_due(ledger, "i-1", 10.0 + CONFIRM_TIMEOUT_SECONDS + 6.0)
+    assert reconcile(ledger, {"i-1": (LAYERS,)}, 15.0) == ["i-1"]
 
 
-def test_what_an_old_leader_ordered_long_ago_is_forgotten() -> None:
+def test_expired_orders_of_an_earlier_leader_are_dropped() -> None:
     ledger = OrderLedger()
-    hear(ledger, "i-1", LAYERS, 3.0, 10.0)
-    note_sent(ledger, "i-2", LAYERS, 10.0)
-    follow(ledger, 10.0 + CONFIRM_SECONDS + 6.0)
-    take_over(ledger)
+    record_reported_order(ledger, "i-1", LAYERS, 3.0, 10.0)
+    record_sent(ledger, "i-2", LAYERS, 10.0)
+    step_down(ledger, 10.0 + CONFIRM_TIMEOUT_SECONDS + 6.0)
+    resume_reported_orders(ledger)
     assert not ledger.sent
--- a/tests/coordination/test_gathering.py
+++ b/tests/coordination/test_gathering.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ledgeladder.coordination.gathering import Gathering
+from ledgeladder.coordination.gathering import InitialDiscovery
 from ledgeladder.daemons.registry.placing import LOOK_SECONDS
 
 HEARTBEAT = 1.2
@@ -37,13 +37,13 @@
         first_look: When the first look is, in seconds.
         heartbeat: Time between two heartbeats, in seconds.
     """
-    gathering = Gathering(heartbeat=heartbeat)
+    discovery = InitialDiscovery(heartbeat=heartbeat)
     # The monotonic clock does not begin with 0.
     began = 100.0
     now = began + first_look
     while True:
         count = sum(at <= now - began for at in times)
-        if gathering.is_over(count, now, serves=serving, is_enough=count >= enough):
+        if discovery.is_complete(count, now, is_serving=serving, can_hold_model=count >= enough):
             return count, now - began
         now += LOOK_SECONDS
 
--- a/tests/coordination/test_loss_evidence.py
+++ b/tests/coordination/test_loss_evidence.py
@@ -1,4 +1,4 @@
-"""When an engine counts as lost."""
+"""When an engine is presumed lost."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 from ledgeladder.coordination.loss_evidence import (
     LossEvidence,
-    forget_engines,
-    is_worth_telling,
-    note_report,
-    seems_lost,
+    is_presumed_lost,
+    record_report,
+    retain_engines,
+    should_broadcast,
 )
 
 HEARTBEAT = 1.2
 
 
 @pytest.mark.parametrize(
-    ("boxes", "heard_at", "expected"),
+    ("boxes", "last_seen_at", "expected"),
     [
         ([], 9.0, False),
-        ([], 6.0, True),  # Silent for more than three heartbeats.
+        ([], 6.0, True),  # More than three heartbeats missed.
         (["a"], 9.0, False),  # The box may be slow itself.
         (["a", "a"], 9.0, False),
         (["a"], 8.0, True),  # Its heartbeat is overdue as well.
@@ -27,79 +27,81 @@
     ],
 )
 def test_one_witness_needs_an_overdue_heartbeat(
-    boxes: list[str], heard_at: float, expected: bool
+    boxes: list[str], last_seen_at: float, expected: bool
 ) -> None:
     evidence = LossEvidence()
     for box in boxes:
-        note_report(evidence, "i-1", box, "here", 9.5)
-    assert seems_lost(evidence, "i-1", heard_at, 10.0, HEARTBEAT, heard_until=10.0) is expected
+        record_report(evidence, "i-1", box, "here", 9.5)
+    assert (
+        is_presumed_lost(evidence, "i-1", last_seen_at, 10.0, HEARTBEAT, seen_until=10.0)
+        is expected
+    )
 
 
 def test_heartbeat_outweighs_earlier_reports() -> None:
     evidence = LossEvidence()
     for box in ("a", "b", "c"):
-        note_report(evidence, "i-1", box, "here", 9.5)
-    assert not seems_lost(evidence, "i-1", 9.6, 10.0, HEARTBEAT, heard_until=10.0)
+        record_report(evidence, "i-1", box, "here", 9.5)
+    assert not is_presumed_lost(evidence, "i-1", 9.6, 10.0, HEARTBEAT, seen_until=10.0)
 
 
-def test_engines_that_are_gone_are_forgotten() -> None:
+def test_evidence_on_engines_that_are_gone_is_dropped() -> None:
     evidence = LossEvidence()
-    note_report(evidence, "i-1", "a", "here", 9.5)
-    note_report(evidence, "i-2", "a", "here", 9.5)
-    forget_engines(evidence, {"i-2"})
+    record_report(evidence, "i-1", "a", "here", 9.5)
+    record_report(evidence, "i-2", "a", "here", 9.5)
+    retain_engines(evidence, {"i-2"})
     assert set(evidence.reports) == {"i-2"}
 
 
-def test_silence_says_nothing_while_other_control_boxes_are_out_of_reach() -> None:
-    """A leader that is cut off from the others hears a third of the heartbeats."""
+def test_inactivity_is_ignored_while_other_control_boxes_are_unreachable() -> None:
+    """A leader that is partitioned from the others receives only a part of the heartbeats."""
     evidence = LossEvidence()
-    assert not seems_lost(evidence, "i-1", 1.0, 10.0, HEARTBEAT, heard_until=None)
-    note_report(evidence, "i-1", "a", "here", 9.5)
-    assert not seems_lost(evidence, "i-1", 1.0, 10.0, HEARTBEAT, heard_until=None)
-    note_report(evidence, "i-1", "b", "here", 9.5)
-    assert seems_lost(evidence, "i-1", 1.0, 10.0, HEARTBEAT, heard_until=None)
+    assert not is_presumed_lost(evidence, "i-1", 1.0, 10.0, HEARTBEAT, seen_until=None)
+    record_report(evidence, "i-1", "a", "here", 9.5)
+    assert not is_presumed_lost(evidence, "i-1", 1.0, 10.0, HEARTBEAT, seen_until=None)
+    record_report(evidence, "i-1", "b", "here", 9.5)
+    assert is_presumed_lost(evidence, "i-1", 1.0, 10.0, HEARTBEAT, seen_until=None)
 
 
 @pytest.mark.parametrize(
     ("domains", "expected"),
     [
         (["a"], False),  # One box may be slow itself.
-        (["a", "a"], True),  # Two boxes beside it.
-        (["b", "b", "b"], False),  # Their failure domain may be cut off.
+        (["a", "a"], True),  # Two boxes in its failure domain.
+        (["b", "b", "b"], False),  # Their failure domain may be partitioned.
         (["b", "c"], True),
         (["b", "a"], True),
     ],
 )
-def test_all_boxes_are_told_what_a_cut_cannot_explain(domains: list[str], expected: bool) -> None:
+def test_loss_is_broadcast_if_no_partition_explains_it(domains: list[str], expected: bool) -> None:
     evidence = LossEvidence()
     for number, domain in enumerate(domains):
-        note_report(evidence, "i-1", f"box-{number}", domain, 9.5)
-    assert is_worth_telling(evidence, "i-1", "a", 9.0, 9.6) is expected
+        record_report(evidence, "i-1", f"box-{number}", domain, 9.5)
+    assert should_broadcast(evidence, "i-1", "a", 9.0, 9.6) is expected
 
 
-def test_a_loss_is_told_once_until_the_engine_is_heard() -> None:
-    """At hundreds of boxes each report would else be passed on to all others."""
+def test_loss_is_broadcast_once_until_the_next_heartbeat() -> None:
+    """Further reports of the same loss must not be broadcast to all boxes again."""
     evidence = LossEvidence()
     for box in ("x", "y"):
-        note_report(evidence, "i-1", box, "a", 9.5)
-    assert is_worth_telling(evidence, "i-1", "a", 9.0, 9.5)
-    note_report(evidence, "i-1", "z", "a", 9.6)
-    assert not is_worth_telling(evidence, "i-1", "a", 9.0, 9.6)
-    assert not is_worth_telling(evidence, "i-1", "a", 9.7, 9.8)
+        record_report(evidence, "i-1", box, "a", 9.5)
+    assert should_broadcast(evidence, "i-1", "a", 9.0, 9.5)
+    record_report(evidence, "i-1", "z", "a", 9.6)
+    assert not should_broadcast(evidence, "i-1", "a", 9.0, 9.6)
+    assert not should_broadcast(evidence, "i-1", "a", 9.7, 9.8)
     for box in ("x", "y"):
-        note_report(evidence, "i-1", box, "a", 9.9)
-    assert is_worth_telling(evidence, "i-1", "a", 9.7, 9.9)
+        record_report(evidence, "i-1", box, "a", 9.9)
+    assert should_broadcast(evidence, "i-1", "a", 9.7, 9.9)
 
 
-@pytest.mark.parametrize(("heard_until", "expected"), [(8.0, False), (9.7, True)])
-def test_silence_counts_up_to_the_moment_in_which_all_control_boxes_were_heard(
-    heard_until: float, expected: bool
+@pytest.mark.parametrize(("seen_until", "expected"), [(8.0, False), (9.7, True)])
+def test_inactivity_counts_while_all_control_boxes_are_reachable(
+    seen_until: float, expected: bool
 ) -> None:
-    """Engines send their heartbeats to one control box each. One that is cut off without a word
-    takes those of a third of all with it, seconds before its links are given up."""
+    """A control box that is cut off stops forwarding heartbeats before its links time out."""
     evidence = LossEvidence()
-    lost = seems_lost(evidence, "i-1", 6.0, 10.0, HEARTBEAT, heard_until=heard_until)
+    lost = is_presumed_lost(evidence, "i-1", 6.0, 10.0, HEARTBEAT, seen_until=seen_until)
     assert lost is expected
-    note_report(evidence, "i-1", "a", "here", 9.5)
-    lost = seems_lost(evidence, "i-1", 7.5, 10.0, HEARTBEAT, heard_until=heard_until)
+    record_report(evidence, "i-1", "a", "here", 9.5)
+    lost = is_presumed_lost(evidence, "i-1", 7.5, 10.0, HEARTBEAT, seen_until=seen_until)
     assert lost is expected
--- a/tests/coordination/test_quarantine.py
+++ b/tests/coordination/test_quarantine.py
@@ -1,13 +1,13 @@
-"""Contents that are sent nowhere, as a part of the replicated state."""
+"""Quarantined request content as part of the replicated state."""
 
 from __future__ import annotations
 
-from ledgeladder.coordination.commands import Noted, QuarantineCommand
+from ledgeladder.coordination.commands import Acknowledgement, QuarantineCommand
 from ledgeladder.coordination.quarantine import (
-    CONTENTS_REMEMBERED,
+    MAX_FINGERPRINTS,
     QUARANTINE_MS,
     Quarantine,
-    add_content,
+    add_fingerprint,
     seconds_left,
 )
 from ledgeladder.coordination.state_machine import (
@@ -19,23 +19,23 @@
     encode_state,
 )
 
-CONTENT = b"content"
+FINGERPRINT = b"content"
 START_MS = 1_800_000_000_000
 
 
-def test_content_survives_a_snapshot_and_expires() -> None:
+def test_fingerprint_survives_a_snapshot_and_expires() -> None:
     state = ClusterState()
-    command = QuarantineCommand(content=CONTENT, time_ms=START_MS)
+    command = QuarantineCommand(fingerprint=FINGERPRINT, time_ms=START_MS)
     decoded = COMMAND_DECODER.decode(encode_command(command))
-    assert apply_command(state, decoded) == Noted(accepted=True)
-    assert apply_command(state, decoded) == Noted(accepted=False)
+    assert apply_command(state, decoded) == Acknowledgement(accepted=True)
+    assert apply_command(state, decoded) == Acknowledgement(accepted=False)
     restored = decode_state(encode_state(state)).quarantine
     assert restored.changes == 1
-    assert seconds_left(restored, START_MS + 1000) == {CONTENT: QUARANTINE_MS / 1000 - 1}
+    assert seconds_left(restored, START_MS + 1000) == {FINGERPRINT: QUARANTINE_MS / 1000 - 1}
     assert seconds_left(restored, START_MS + QUARANTINE_MS) == {}
 
 
-def test_snapshot_from_before_there_was_a_quarantine_can_be_read() -> None:
+def test_snapshot_without_a_quarantine_is_decoded() -> None:
     import msgspec
 
     old = msgspec.msgpack.decode(encode_state(ClusterState()))
@@ -43,9 +43,10 @@
     assert decode_state(msgspec.msgpack.encode(old)).quarantine.until_ms == {}
 
 
-def test_the_newest_contents_are_kept() -> None:
+def test_newest_fingerprints_are_kept() -> None:
+
     quarantine = Quarantine()
-    for number in range(CONTENTS_REMEMBERED + 10):
-        assert add_content(quarantine, number.to_bytes(8, "big"), START_MS)
-    assert len(quarantine.until_ms) == CONTENTS_REMEMBERED
+    for number in range(MAX_FINGERPRINTS + 10):
+        assert add_fingerprint(quarantine, number.to_bytes(8, "big"), START_MS)
+    assert len(quarantine.until_ms) == MAX_FINGERPRINTS
     assert (9).to_bytes(8, "big") not in quarantine.until_ms
--- a/tests/coordination/test_state_machine.py
+++ b/tests/coordination/test_state_machine.py
@@ -7,8 +7,8 @@
 from ledgeladder.coordination.commands import ChangeCommand, ChangeResult
 from ledgeladder.coordination.state_machine import (
     ClusterState,
-    advance,
     apply_command,
+    apply_delta,
     decode_state,
     deltas_after,
     encode_state,
@@ -69,10 +69,10 @@
         decide(state, change(f"change-{number:04}", number, number % 100))
         if number % 7 == 0:
             for delta in deltas_after(state, held.version) or []:
-                held = advance(held, delta) or held
+                held = apply_delta(held, delta) or held
     for delta in deltas_after(state, held.version) or []:
-        held = advance(held, delta) or held
+        held = apply_delta(held, delta) or held
     assert digest(held) == digest(state.configuration)
     assert deltas_after(state, 0) is None
     assert deltas_after(state, 301) is None
-    assert advance(held, state.deltas[0]) is None
+    assert apply_delta(held, state.deltas[0]) is None
--- a/tests/coordination/test_voters.py
+++ b/tests/coordination/test_voters.py
@@ -11,7 +11,7 @@
 
 
 def leader(
-    voters: tuple[str, ...], learners: tuple[str, ...] = (), silent: tuple[str, ...] = ()
+    voters: tuple[str, ...], learners: tuple[str, ...] = (), inactive: tuple[str, ...] = ()
 ) -> Replica:
     members = Members(voters=voters, learners=learners)
     replica = Replica(
@@ -21,7 +21,7 @@
         commit_index=5,
     )
     for member in members.everyone[1:]:
-        heard = NOW - 60.0 if member in silent else NOW
+        heard = NOW - 60.0 if member in inactive else NOW
         replica.progress[member] = Progress(next_index=6, match_index=5, heard_at=heard)
     return replica
 
@@ -44,15 +44,15 @@
     replica = leader(("a/1", "b/1"), ("c/2",))
     replica.progress["c/2"].match_index = 4
     assert choose(replica) is None
-    assert choose(leader(("a/1", "b/1"), ("c/2",), silent=("c/2",))) is None
+    assert choose(leader(("a/1", "b/1"), ("c/2",), inactive=("c/2",))) is None
 
 
 def test_new_box_replaces_a_voter_that_is_gone_and_no_other() -> None:
-    replica = leader(("a/1", "b/1", "c/1"), silent=("c/1",))
+    replica = leader(("a/1", "b/1", "c/1"), inactive=("c/1",))
     assert choose(replica) is None
     joined = choose(replica, "d/1")
     assert joined == Members(voters=("a/1", "b/1", "c/1"), learners=("d/1",))
-    caught_up = leader(("a/1", "b/1", "c/1"), ("d/1",), silent=("c/1",))
+    caught_up = leader(("a/1", "b/1", "c/1"), ("d/1",), inactive=("c/1",))
     assert choose(caught_up) == Members(voters=("a/1", "b/1"), learners=("d/1",))
     assert choose(leader(("a/1", "b/1", "c/1"), ("d/1",))) is None
 
@@ -75,7 +75,7 @@
 def test_never_more_than_one_voter_changes() -> None:
     cases = [
         (leader(("a/1", "b/1", "c/1")), ("b/2", "c/2")),
-        (leader(("a/1", "b/1", "c/1"), ("d/1",), silent=("b/1", "c/1")), ("e/1",)),
+        (leader(("a/1", "b/1", "c/1"), ("d/1",), inactive=("b/1", "c/1")), ("e/1",)),
         (leader(("a/1", "b/1"), ("c/2", "d/1")), ("c/3",)),
     ]
     for replica, applicants in cases:
--- a/tests/daemons/gateway/test_waiting.py
+++ b/tests/daemons/gateway/test_waiting.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from ledgeladder.coordination.freshness import ask, take_answer
+from ledgeladder.coordination.freshness import handle_reply, open_query
 from ledgeladder.daemons.gateway.checks import STARTUP_SECONDS, Permit
 from ledgeladder.daemons.gateway.notes import RequestTrace
 from ledgeladder.daemons.gateway.state import answer_pace
@@ -83,7 +83,7 @@
     state.configuration = TrafficConfiguration(
         version=1, routes=(), pools={}, accounts=(), limits=CallerLimits()
     )
-    take_answer(state.freshness, ask(state.freshness, anyio.current_time()), 1, 0.0)
+    handle_reply(state.freshness, open_query(state.freshness, anyio.current_time()), 1, 0.0)
 
 
 def starting_state(*, uptime: float = 0.0) -> GatewayState:
--- a/tests/daemons/registry/test_http_api.py
+++ b/tests/daemons/registry/test_http_api.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ledgeladder.coordination.registrations import RegistrationTable, take_registration
+from ledgeladder.coordination.registrations import RegistrationTable, apply_registration
 from ledgeladder.daemons.registry.http_api import _names_a_pool
 from ledgeladder.model.registration import Registration, UpstreamState
 
@@ -33,5 +33,5 @@
     held = registry(pools)
     said = Registration(instance="i-1", sequence=2, pool=pool, address="a:1", state=state)
     if is_known:
-        take_registration(held.table, said, 0.0)
+        apply_registration(held.table, said, 0.0)
     assert _names_a_pool(held, said) is is_taken
--- a/tests/daemons/registry/test_telling.py
+++ b/tests/daemons/registry/test_telling.py
@@ -11,7 +11,7 @@
 
 from ledgeladder.coordination.loss_evidence import LossEvidence
 from ledgeladder.coordination.registrations import RegistrationTable
-from ledgeladder.coordination.upstream_order import UpstreamOrder
+from ledgeladder.coordination.upstream_order import UpstreamIndex
 from ledgeladder.daemons.peers import SILENCE_SECONDS
 from ledgeladder.daemons.registry import telling
 from ledgeladder.daemons.registry.state import PendingNews
@@ -55,7 +55,7 @@
     state: Any = SimpleNamespace(
         table=RegistrationTable(),
         losses=LossEvidence(),
-        order=UpstreamOrder(),
+        order=UpstreamIndex(),
         peers=SimpleNamespace(links={"10.0.0.2": opened}),
         accepted={1: entry},
         accepted_peers={2: accepted},
@@ -134,7 +134,7 @@
     entry, peer = Recorder(clock), Recorder(clock)
     state: Any = SimpleNamespace(
         news=PendingNews(),
-        order=UpstreamOrder(),
+        order=UpstreamIndex(),
         table=RegistrationTable(),
         peers=SimpleNamespace(links={"10.0.0.2": peer}),
         accepted={1: entry},
@@ -173,7 +173,7 @@
     assert sum(len(frame.told) for frame in to_peer) == UPSTREAMS / 5
     # Whole orders would be 11 times the half of all ids, 200 KB a link.
     changes = [message for _at, message in entry.posted if isinstance(message, ChangedOrder)]
-    assert sum(len(message.change.come) for message in changes) == UPSTREAMS
+    assert sum(len(message.change.added) for message in changes) == UPSTREAMS
 
 
 def test_first_news_goes_at_once_and_of_one_run_the_newest_counts() -> None:
--- a/tests/daemons/test_clock.py
+++ b/tests/daemons/test_clock.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ledgeladder.coordination import raft
-from ledgeladder.coordination.freshness import ask, take_answer
+from ledgeladder.coordination.freshness import handle_reply, open_query
 from ledgeladder.daemons import clock
 from ledgeladder.daemons.gateway.state import check_freshness
 from ledgeladder.daemons.launch import LOOP_OPTIONS
@@ -66,8 +66,8 @@
         state.configuration = TrafficConfiguration(
             version=3, routes=(), pools={}, limits=CallerLimits(), accounts=()
         )
-        call = ask(state.freshness, anyio.current_time())
-        take_answer(state.freshness, call, 3, 0.0)
+        call = open_query(state.freshness, anyio.current_time())
+        handle_reply(state.freshness, call, 3, 0.0)
         assert check_freshness(state, anyio.current_time())
         machine.suspend()
         assert not check_freshness(state, anyio.current_time())
--- a/tests/daemons/test_content_judge.py
+++ b/tests/daemons/test_content_judge.py
@@ -9,11 +9,11 @@
 import pytest
 from returns.result import Success
 
-from ledgeladder.coordination.commands import Noted, QuarantineCommand
+from ledgeladder.coordination.commands import Acknowledgement, QuarantineCommand
 from ledgeladder.coordination.crash_book import CRASH_LIMIT
 from ledgeladder.coordination.loss_evidence import LossEvidence
-from ledgeladder.coordination.quarantine import QUARANTINE_MS, Quarantine, add_content
-from ledgeladder.coordination.registrations import RegistrationTable, take_registration
+from ledgeladder.coordination.quarantine import QUARANTINE_MS, Quarantine, add_fingerprint
+from ledgeladder.coordination.registrations import RegistrationTable, apply_registration
 from ledgeladder.daemons import content_judge
 from ledgeladder.daemons.content_judge import ContentJudge
 from ledgeladder.daemons.registry.upstream_ends import has_ended
@@ -60,9 +60,9 @@
     """Let the leader judge; returns what it commits."""
     committed: list[bytes] = []
 
-    async def submit(_node: object, command: QuarantineCommand) -> Success[Noted]:
-        committed.append(command.content)
-        return Success(Noted(accepted=True))
+    async def submit(_node: object, command: QuarantineCommand) -> Success[Acknowledgement]:
+        committed.append(command.fingerprint)
+        return Success(Acknowledgement(accepted=True))
 
     monkeypatch.setattr(content_judge, "submit", submit)
     anyio.run(content_judge.judge_contents, judge)
@@ -113,7 +113,9 @@
     is looked at no more."""
     for age_ms, expected in ((QUARANTINE_MS + 1000, [CONTENT]), (1000, [])):
         judge = judge_of(Recorder(), Recorder(), alive=set())
-        add_content(judge.node.state.quarantine, CONTENT, content_judge.wall_clock_ms() - age_ms)
+        add_fingerprint(
+            judge.node.state.quarantine, CONTENT, content_judge.wall_clock_ms() - age_ms
+        )
         take_ends(judge, CRASH_LIMIT)
         assert judge_now(judge, monkeypatch) == expected
         assert CONTENT not in judge.book.suspects
@@ -124,7 +126,7 @@
     judge = judge_of(entries, Recorder(), alive=set())
     content_judge.tell_quarantine(judge)
     assert entries.posted == []
-    add_content(judge.node.state.quarantine, CONTENT, content_judge.wall_clock_ms())
+    add_fingerprint(judge.node.state.quarantine, CONTENT, content_judge.wall_clock_ms())
     content_judge.tell_quarantine(judge)
     content_judge.tell_quarantine(judge)
     (news,) = entries.posted
@@ -144,14 +146,14 @@
     async def play() -> None:
         now = anyio.current_time()
         alive = Registration(instance="i-0", sequence=1, address="10.0.0.9:1")
-        take_registration(state.table, alive, now)
+        apply_registration(state.table, alive, now)
         assert not has_ended(state, "i-0")
         assert has_ended(state, "i-unknown")
         later = Registration(instance="i-1", sequence=1, address="10.0.0.9:1")
-        take_registration(state.table, later, now + 0.1)
+        apply_registration(state.table, later, now + 0.1)
         assert has_ended(state, "i-0")
         assert not has_ended(state, "i-1")
-        state.table.known["i-1"].heard_at = now - 10.0
+        state.table.known["i-1"].last_seen_at = now - 10.0
         assert has_ended(state, "i-1")
 
     anyio.run(play)
--- a/tests/daemons/test_late_orders.py
+++ b/tests/daemons/test_late_orders.py
@@ -73,10 +73,10 @@
             await anyio.sleep(0.1)
             report = await fetch_report(upstream.address, source=LOCAL, seconds=1.0)
             assert report is not None
-            assert report.orders_taken == 0
-            late = place_call(upstream.instance, old, 1, report.orders_taken, wait=True)
+            assert report.started_orders == 0
+            late = place_call(upstream.instance, old, 1, report.started_orders, wait=True)
             assert (
-                await order_sending.send_order(state(2), registered, new, 2) is OrderOutcome.BEGUN
+                await order_sending.send_order(state(2), registered, new, 2) is OrderOutcome.STARTED
             )
             connection = await connect(upstream.address, source=LOCAL, seconds=1.0)
             head = await send_call(connection, late)
--- a/tests/daemons/test_resting_engines.py
+++ b/tests/daemons/test_resting_engines.py
@@ -50,12 +50,12 @@
             set_mood(upstream, rest_of_calls=REST)
             for _ in range(4):
                 outcome = await order_sending.send_order(state, registered, holding, 1)
-                assert outcome is OrderOutcome.RESTING
+                assert outcome is OrderOutcome.BACKING_OFF
             assert refused(upstream) == 1
             set_mood(upstream)
             state.rests.until[upstream.instance] = anyio.current_time()
             outcome = await order_sending.send_order(state, registered, holding, 1)
-            assert outcome is OrderOutcome.BEGUN
+            assert outcome is OrderOutcome.STARTED
             assert not state.rests.until
             tasks.cancel_scope.cancel()
 
