--- a/src/ledgeladder/coordination/__init__.py
+++ b/src/ledgeladder/coordination/__init__.py
@@ -1,3 +1,3 @@
-"""Coordination parts without sockets or clocks, for the daemons and for others to embed."""
+"""Coordination logic without sockets or clocks, for the daemons and for embedding."""
 
 from __future__ import annotations
--- a/src/ledgeladder/coordination/claims.py
+++ b/src/ledgeladder/coordination/claims.py
@@ -1,8 +1,8 @@
-"""Claims: the record that keeps a request that may run at most once from running twice.
+"""Claims, which prevent a request that may run at most once from running twice.
 
-The key carries its own time (version 7 UUID, RFC 9562). A claim is forgotten only once its key is
-so old that the table refuses it by that time alone, so forgetting never lets a request run again,
-whatever the clocks of leaders do.
+A key carries its own time (version 7 UUID, RFC 9562). A claim is dropped only once its key is so
+old that the table refuses the key by that time alone. Dropping a claim therefore never lets a
+request run again, whatever the clocks of leaders do.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 from .commands import ClaimCommand, ClaimResult, ClaimVerdict, CompleteCommand, ReleaseCommand
 
 CLAIM_WINDOW_MS: Final = 3_600_000
-"""How long a key is remembered after the time that it carries."""
+"""How long a claim is kept after the time that its key carries."""
 
 CLOCK_SKEW_MS: Final = 60_000
-"""How far in the future a key may lie."""
+"""How far in the future the time of a key may lie."""
 
 BUCKET_MS: Final = 60_000
-"""Claims are forgotten in steps of this length."""
+"""Granularity at which claims expire."""
 
 CLAIM_LIMIT: Final = 100_000
-"""Most claims held at a time."""
+"""Maximum number of claims."""
 
 ANSWER_LIMIT: Final = 16 * 1024
-"""Longest answer that is recorded, in bytes; of a longer one only the status is kept."""
+"""Maximum length of a recorded answer, in bytes. Of a longer one only the status is used."""
 
 ANSWERS_TOTAL_LIMIT: Final = 32 * 1024 * 1024
-"""Bytes of recorded answers held at a time."""
+"""Maximum total length of the recorded answers, in bytes."""
 
 UUID_VERSION: Final = 7
 
@@ -45,13 +45,13 @@
     """The attempt that may dispatch."""
 
     deadline_ms: int
-    """When the attempt will have ended for certain."""
+    """When the attempt has certainly finished, in milliseconds since 1970."""
 
     ended: bool = False
-    """True once an outcome was recorded."""
+    """True once an outcome is recorded."""
 
     status: int = 0
-    """HTTP status of the recorded answer; 0 if it is not known."""
+    """HTTP status of the recorded answer; 0 if unknown."""
 
     content_type: str = ""
     """Content type of the recorded answer."""
@@ -67,7 +67,7 @@
     """Claims by client account, then by key."""
 
     buckets: dict[int, list[tuple[str, str]]] = msgspec.field(default_factory=dict)
-    """Account and key of the claims, by the minute that the key carries."""
+    """Accounts and keys of the claims, by the time of the key rounded down to `BUCKET_MS`."""
 
     count: int = 0
     """Number of claims."""
@@ -76,7 +76,7 @@
     """Total length of the recorded answers."""
 
     expired_before_ms: int = 0
-    """Keys that carry an earlier time are refused, and no claim is held for them."""
+    """Keys with an earlier time are refused, and there is no claim for them."""
 
 
 def key_time_ms(key: str) -> int | None:
@@ -103,16 +103,16 @@
 
 
 def canonical_key(key: str) -> str:
-    """Return the one spelling under which a key is held."""
+    """Return the canonical spelling of a key, under which its claim is stored."""
     return str(uuid.UUID(key))
 
 
 def expire(table: ClaimTable, clock_ms: int) -> None:
-    """Forget the claims whose keys are refused by their time from now on.
+    """Drop the claims whose keys are refused by their time from now on.
 
     Args:
         table: The table.
-        clock_ms: The state machine's clock, which never goes back.
+        clock_ms: Clock of the state machine, which never goes back.
     """
     limit = (clock_ms - CLAIM_WINDOW_MS) // BUCKET_MS * BUCKET_MS
     if limit <= table.expired_before_ms:
@@ -135,15 +135,15 @@
 
 
 def claim(table: ClaimTable, command: ClaimCommand, clock_ms: int) -> ClaimResult:
-    """Grant a claim, or tell what became of the one that stands.
+    """Grant a claim, or return the state of the existing one.
 
     Args:
         table: The table.
         command: The claim.
-        clock_ms: The state machine's clock.
+        clock_ms: Clock of the state machine.
 
     Returns:
-        The verdict; asking again with the same attempt gets the same grant.
+        The verdict. The attempt that holds the claim gets the same grant again.
     """
     key_time = key_time_ms(command.key)
     if key_time is None or key_time > clock_ms + CLOCK_SKEW_MS:
@@ -195,7 +195,7 @@
         command: The outcome.
 
     Returns:
-        False if the attempt does not hold the claim.
+        False if the attempt does not hold the claim, or an outcome is already recorded.
     """
     existing = _find_claim(table, command.account, command.key, command.attempt)
     if existing is None or existing.ended:
@@ -208,20 +208,20 @@
         existing.body = command.body
         table.answer_bytes += len(command.body)
     elif command.body:
-        # The request ran, but its answer cannot be given again.
+        # The request ran, but its answer is not kept and can't be replayed.
         existing.status = 0
     return True
 
 
 def release(table: ClaimTable, command: ReleaseCommand) -> bool:
-    """Give back a claim whose request was certainly not run.
+    """Release a claim whose request was certainly not run.
 
     Args:
         table: The table.
-        command: Names the claim and the attempt that held it.
+        command: The claim and the attempt that holds it.
 
     Returns:
-        False if the attempt does not hold the claim or its outcome is recorded.
+        False if the attempt does not hold the claim, or its outcome is recorded.
     """
     existing = _find_claim(table, command.account, command.key, command.attempt)
     if existing is None or existing.ended:
--- a/src/ledgeladder/coordination/commands.py
+++ b/src/ledgeladder/coordination/commands.py
@@ -11,16 +11,16 @@
 
 
 class ChangeCommand(msgspec.Struct, frozen=True, kw_only=True, tag="change", array_like=True):
-    """Change the configuration if nobody else did first."""
+    """Change the configuration, unless another change was committed first."""
 
     change: ChangeDocument
     operator: str
     time_ms: int
-    """Wall clock of the leader that proposed it, in milliseconds since 1970."""
+    """Wall clock of the leader that proposed the command, in milliseconds since 1970."""
 
 
 class RefusalCommand(msgspec.Struct, frozen=True, kw_only=True, tag="refusal", array_like=True):
-    """Record in the audit trail that a change was refused before it reached the log."""
+    """Record in the audit trail a change that was refused before it reached the log."""
 
     change_id: str
     operator: str
@@ -30,7 +30,7 @@
 
 
 class ClaimCommand(msgspec.Struct, frozen=True, kw_only=True, tag="claim", array_like=True):
-    """Ask for the right to dispatch a request that may run at most once."""
+    """Request the right to dispatch a request that may run at most once."""
 
     account: str
     key: str
@@ -38,10 +38,10 @@
 
     body_digest: bytes
     attempt: str
-    """Random id of this attempt; only the attempt that is granted may dispatch."""
+    """Random id of this attempt. Only the attempt that is granted may dispatch."""
 
     deadline_ms: int
-    """Wall-clock time after which the attempt will have ended for certain."""
+    """Wall-clock time by which the attempt has certainly finished, in milliseconds since 1970."""
 
     time_ms: int
 
@@ -53,7 +53,7 @@
     key: str
     attempt: str
     status: int
-    """HTTP status of the answer; 0 if the outcome is not known."""
+    """HTTP status of the answer; 0 if the outcome is unknown."""
 
     content_type: str
     body: bytes
@@ -61,7 +61,7 @@
 
 
 class ReleaseCommand(msgspec.Struct, frozen=True, kw_only=True, tag="release", array_like=True):
-    """Give a claim back whose request was certainly not run."""
+    """Release a claim whose request was certainly not run."""
 
     account: str
     key: str
@@ -96,10 +96,10 @@
 
 
 class QuarantineCommand(msgspec.Struct, frozen=True, kw_only=True, tag="hold", array_like=True):
-    """Send requests with a content to no upstream for a while."""
+    """Quarantine request content, so that it is sent to no upstream for a while."""
 
     fingerprint: bytes
-    """Mark of the content."""
+    """Fingerprint of the request content."""
 
     time_ms: int
 
@@ -126,56 +126,56 @@
 
     detail: str = ""
     repeated: bool = False
-    """True if the change id had been decided before and this is the first answer again."""
+    """True if the change id was decided before and this repeats the first answer."""
 
 
 class ClaimVerdict(StrEnum):
-    """What a claim got."""
+    """Outcome of a claim."""
 
     GRANTED = "granted"
     """This attempt, and no other, may dispatch the request once."""
 
     RUNNING = "running"
-    """Another attempt holds the claim and may still be at work."""
+    """Another attempt holds the claim and may still be running."""
 
     ANSWERED = "answered"
     """The request was run; the recorded answer is attached."""
 
     UNKNOWN = "unknown"
-    """Another attempt held the claim and its outcome is not known."""
+    """Another attempt held the claim and its outcome is unknown."""
 
     MISMATCH = "mismatch"
     """The key was used with another body."""
 
     EXPIRED = "expired"
-    """The key is older than the window in which keys are remembered."""
+    """The key is older than the window in which keys are kept."""
 
     FUTURE = "future"
-    """The time in the key lies in the future."""
+    """The time in the key lies in the future, or the key carries none."""
 
     FULL = "full"
-    """No more claims can be held."""
+    """The claim table is full."""
 
 
 class ClaimResult(msgspec.Struct, frozen=True, kw_only=True, tag="claim", array_like=True):
-    """Outcome of a claim."""
+    """Outcome of a claim, with the recorded answer if there is one."""
 
     verdict: ClaimVerdict
     status: int = 0
     content_type: str = ""
     body: bytes = b""
     retry_ms: int = 0
-    """After how many milliseconds the holder will have ended, if it is running."""
+    """Milliseconds until the attempt that holds the claim has finished, if it is running."""
 
 
 class Acknowledgement(msgspec.Struct, frozen=True, kw_only=True, tag="noted", array_like=True):
-    """Outcome of a command that has none of its own."""
+    """Outcome of a command without a result type of its own."""
 
     accepted: bool
 
 
 class PublishResult(msgspec.Struct, frozen=True, kw_only=True, tag="publish", array_like=True):
-    """Outcome of a publication; it is never refused at this point."""
+    """Outcome of a publication, which is never refused at this point."""
 
     version: int
     """Highest version so far, which is in force."""
--- a/src/ledgeladder/coordination/gathering.py
+++ b/src/ledgeladder/coordination/gathering.py
@@ -1,4 +1,4 @@
-"""Waiting for the engines of a pool before layers are divided among them."""
+"""Waits for the engines of a pool to register before layers are first divided among them."""
 
 from __future__ import annotations
 
@@ -7,34 +7,33 @@
 import msgspec
 
 MIN_QUIET_SECONDS: Final = 0.6
-"""How long no new engine must have come at least. It is enough where some hold layers already: a
-box that has just taken over from a leader has a whole picture after half a heartbeat, and gaps are
-to be closed soon. Before the first plan a heartbeat is waited for if that is longer."""
+"""Minimum time without a new engine. It suffices where engines already hold layers, as after a
+change of the leader, and gaps must be closed soon. Otherwise the wait is a heartbeat if that is
+longer."""
 
 MAX_WAIT_SECONDS: Final = 3.0
-"""Longest time that a plan waits for further engines once there are enough to hold the model. They
-register over seconds; a system is_serving some seconds after its boxes start."""
+"""Maximum time to wait for further engines once those that registered can hold the model."""
 
 MAX_WAIT_WITHOUT_MODEL_SECONDS: Final = 10.0
-"""Longest time that it waits for engines that can hold the model. Nothing can be served before, and
-layers that were ordered are not divided anew. Then it is made all the same, so that it is logged
-which layers are lacking."""
+"""Maximum time to wait for engines that can hold the model. Nothing can be served before, and
+ordered layers are not divided again. The plan is then made anyway, and the missing layers are
+logged."""
 
 
 class InitialDiscovery(msgspec.Struct, kw_only=True):
-    """How many engines of a pool have come and when, before the first plan."""
+    """Tracks how many engines of a pool registered and when, before the first plan."""
 
     heartbeat: float
     """Time between two heartbeats of an engine, in seconds."""
 
     max_count: int = 0
-    """Most engines that were registered at once."""
+    """Maximum number of engines that were registered at once."""
 
     first_seen_at: float = 0.0
-    """When the first came, on the monotonic clock; 0 before that."""
+    """When the first engine registered, on the monotonic clock; 0 before that."""
 
     sufficient_at: float = 0.0
-    """When they first were enough to hold the model, on the monotonic clock; 0 before that."""
+    """When the engines could first hold the model, on the monotonic clock; 0 before that."""
 
     last_growth_at: float = 0.0
     """When `max_count` last rose, on the monotonic clock."""
@@ -42,12 +41,11 @@
     def is_complete(
         self, count: int, now: float, *, is_serving: bool, can_hold_model: bool
     ) -> bool:
-        """Take in how many are registered now, and tell whether it is time to plan.
+        """Record how many engines are registered now, and return whether to plan.
 
-        Each engine that is up is heard within a heartbeat, so that the first plan is made once no
-        other came for so long. One that was made half a heartbeat after the second engine of 33
-        left every failure domain without a copy of the model, and two thirds of all callers
-        unserved for as long as the system ran.
+        Every running engine sends a heartbeat within one interval, so the first plan is made once
+        no new engine appeared for that long. A plan over too few engines would leave failure
+        domains without a copy of the model, and is not revised when more engines register.
 
         Args:
             count: Engines that are registered.
--- a/src/ledgeladder/coordination/link_choice.py
+++ b/src/ledgeladder/coordination/link_choice.py
@@ -1,10 +1,8 @@
-"""Which control boxes a process keeps links to.
+"""Chooses the control boxes to which a process keeps links.
 
-A control box keeps one to each other; an entry box keeps a few.
-
-With links to all of them, every entry box would hear the same news from each: at 84 entry boxes and
-6 control boxes that was a third of the processor time of an entry box at rest and most of what
-crossed failure domains. A few links are enough, since control boxes tell each other.
+A control box links to every other one, an entry box only to a few. Control boxes forward updates to
+each other, so further links of an entry box would only carry duplicates, mostly across failure
+domains.
 """
 
 from __future__ import annotations
@@ -19,11 +17,11 @@
 def rank_controls(
     known: Iterable[str], domains: Mapping[str, str], *, own: str, own_domain: str, limit: int
 ) -> list[str]:
-    """Put control boxes in the order in which an entry box prefers them.
+    """Rank control boxes by the preference of an entry box.
 
-    Those of the own failure domain come first, since a cut leaves them in reach and what they send
-    crosses no domain; but one of the first `limit` is of another domain, so that the loss of all
-    control boxes of the own domain is survived without a gap. Among equals, entry boxes prefer
+    Those of the own failure domain come first, since they stay reachable in a partition and their
+    messages cross no domain boundary. One of the first `limit` is of another domain, so there is no
+    gap when all control boxes of the own domain are lost. Among equals, entry boxes prefer
     different ones (rendezvous hashing).
 
     Args:
@@ -31,7 +29,7 @@
         domains: Failure domain of each, as far as it is known.
         own: Address of the entry box.
         own_domain: Its failure domain.
-        limit: Links that it wants; with one, no box of another domain is among the first.
+        limit: Number of links; with one, no box of another domain is among the first.
 
     Returns:
         All addresses, the preferred ones first.
@@ -50,16 +48,16 @@
 def choose_controls(
     ranked: Iterable[str], is_available: Callable[[str], bool], limit: int
 ) -> list[str]:
-    """Choose which control boxes to keep links to.
+    """Choose the control boxes to keep links to.
 
     Args:
         ranked: Addresses, the preferred ones first.
-        is_available: Tells whether a link is up or may still come up soon.
-        limit: Links that are wanted.
+        is_available: Returns whether a link is up or may still come up soon.
+        limit: Number of links to have available.
 
     Returns:
-        Addresses in the same order; more than `limit` if preferred ones are out of reach, which are
-        tried on.
+        Addresses in the same order. Unavailable ones are included in addition to `limit`, since
+        connecting to them is retried.
 
     >>> choose_controls(["a", "b", "c", "d"], lambda address: address != "b", 2)
     ['a', 'b', 'c']
--- a/src/ledgeladder/coordination/orders.py
+++ b/src/ledgeladder/coordination/orders.py
@@ -1,9 +1,9 @@
-"""Orders to engines: which model version and layers each is to hold, one change at a time.
+"""Orders to engines: the model version and layers that each is to hold, one change at a time.
 
-An order is first committed in the log, and its index is half of its fence; the other half is the
-term of the leader that sends it. An engine that checks fences refuses a lower one. What is decided
-here is which order may go out next: never one that would leave a layer of a model without an
-engine, and never more loads at a time than the weight store bears.
+An order is committed in the log first. Its index is the lower half of its fence, and the term of
+the leader that sends it is the upper half; an engine that checks fences refuses a lower one. This
+module decides which order is sent next. It never leaves a layer of a model without an engine, and
+limits concurrent loads to protect the weight store.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from ..model import Configuration, LayerSpan, Upstream, UpstreamKind
 
 MAX_CONCURRENT_LOADS: Final = 1
-"""Engines that load at a time, which keeps the weight store's rate for one of them."""
+"""Engines that load at the same time. One engine gets the full rate of the weight store."""
 
 
 class Assignment(msgspec.Struct, frozen=True, kw_only=True):
-    """What an engine is to hold."""
+    """The model version and layers that an engine is to hold."""
 
     model: str
     """Model."""
@@ -36,10 +36,10 @@
     """The newest order to one engine."""
 
     assignment: Assignment
-    """What it is to hold."""
+    """What the engine is to hold."""
 
     index: int
-    """Index of the order's log entry, the lower half of its fence."""
+    """Number of the order, the lower half of its fence."""
 
     done: bool = False
     """True once the engine confirmed it."""
@@ -56,7 +56,7 @@
 
 
 def configured_assignment(upstream: Upstream) -> Assignment | None:
-    """Return what the configuration wants an engine to hold, or None if it is not managed."""
+    """Return the assignment of an engine by the configuration, or None if it is not managed."""
     if upstream.kind is not UpstreamKind.ENGINE or not upstream.version:
         return None
     span = LayerSpan(first=upstream.first_layer, end=upstream.end_layer)
@@ -64,7 +64,7 @@
 
 
 def place_order(table: OrderTable, upstream: str, assignment: Assignment) -> Order:
-    """Enter an order into the table, replacing the engine's older one."""
+    """Add an order to the table, replacing the engine's older one."""
     table.last_index += 1
     order = Order(assignment=assignment, index=table.last_index)
     table.orders[upstream] = order
@@ -72,10 +72,10 @@
 
 
 def confirm_order(table: OrderTable, upstream: str, index: int) -> bool:
-    """Note that an engine carried out an order.
+    """Record that an engine carried out an order.
 
     Returns:
-        False if the engine has been given a newer order meanwhile.
+        False if the engine has a newer order.
     """
     order = table.orders.get(upstream)
     if order is None or order.index != index:
@@ -85,7 +85,7 @@
 
 
 def pending_orders(table: OrderTable) -> dict[str, Order]:
-    """Return the orders that no engine has confirmed."""
+    """Return the orders that are not confirmed."""
     return {name: order for name, order in table.orders.items() if not order.done}
 
 
@@ -97,7 +97,7 @@
     Args:
         table: Orders so far.
         configuration: The configuration in force.
-        live: Names of the engines that answer.
+        live: Names of the engines that respond.
 
     Returns:
         Upstream and assignment, or None if nothing is due or nothing may be ordered now.
@@ -120,16 +120,16 @@
 def is_redundant(
     table: OrderTable, configuration: Configuration, live: set[str], name: str
 ) -> bool:
-    """Tell whether all layers that an engine holds now are current by another live engine too.
+    """Return whether another live engine holds each layer that an engine holds now.
 
     Args:
         table: Orders so far.
         configuration: The configuration in force.
-        live: Names of the engines that answer.
+        live: Names of the engines that respond.
         name: The engine that would stop serving while it loads.
 
     Returns:
-        True if every layer stays covered meanwhile.
+        True if every layer stays covered while it loads.
     """
     current = table.orders[name].assignment
     covered: set[int] = set()
--- a/src/ledgeladder/coordination/state_machine.py
+++ b/src/ledgeladder/coordination/state_machine.py
@@ -1,7 +1,7 @@
 """The replicated state machine: configuration, change history, audit trail and claims.
 
-Applying a command is a pure function of state and command: no clock, no random numbers. Every
-member that applies the same log holds the same state.
+Applying a command is a pure function of state and command, without clock or random numbers, so
+every member that applies the same log has the same state.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 """Decided change ids that are kept. A resend of an older one fails by its base version."""
 
 MAX_AUDIT_ENTRIES: Final = 4096
-"""Audit entries that are kept in the state; the log file has them all."""
+"""Audit entries that are kept in the state; the log has all of them."""
 
 PLATFORM_OPERATOR: Final = "platform"
-"""Name in the audit trail of an operator that publishes whole documents, which name nobody."""
+"""Operator recorded in the audit trail for whole documents, which name none."""
 
 MAX_DELTAS: Final = 256
-"""Accepted changes that are kept to send to boxes that lag by a few versions."""
+"""Accepted changes that are kept for boxes that lag by a few versions."""
 
 
 class AuditEntry(msgspec.Struct, frozen=True, kw_only=True):
@@ -52,7 +52,7 @@
     """When it was decided, in milliseconds since 1970."""
 
     operator: str
-    """Who asked for it."""
+    """Operator that requested it."""
 
     change_id: str
     """Id that the operator gave it."""
@@ -71,7 +71,7 @@
     """The first answer to a change id."""
 
     content_digest: bytes
-    """Digest of the change, to tell a resend from a reuse of the id."""
+    """Digest of the change, which distinguishes a resend from a reuse of the id."""
 
     result: ChangeResult
     """The answer."""
@@ -81,14 +81,14 @@
     """An accepted change as it is sent to the boxes."""
 
     version: int
-    """Version that it makes out of the one before."""
+    """Version that results from applying it to the one before."""
 
     change: ChangeDocument
     """The objects put and removed."""
 
 
 class PublishedDocument(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole document of the highest version, for boxes that are configured that way."""
+    """The whole document of the highest version, for boxes that are configured by documents."""
 
     version: int = 0
     """Its version; 0 before the first."""
@@ -98,7 +98,7 @@
 
 
 class ClusterState(msgspec.Struct, kw_only=True):
-    """Everything that survives."""
+    """The replicated state, which is stored in snapshots."""
 
     configuration: Configuration = msgspec.field(default_factory=Configuration)
     """The newest accepted configuration."""
@@ -125,7 +125,7 @@
     """The document in force, if whole documents are published."""
 
     quarantine: Quarantine = msgspec.field(default_factory=Quarantine)
-    """Contents of requests that are sent to no upstream."""
+    """Fingerprints of request content that is sent to no upstream."""
 
 
 COMMAND_DECODER: Final = msgspec.msgpack.Decoder(Command)
@@ -155,7 +155,7 @@
         command: The command.
 
     Returns:
-        What whoever proposed the command is told.
+        The result for the proposer of the command.
     """
     state.clock_ms = max(state.clock_ms, command.time_ms)
     expire(state.claims, state.clock_ms)
@@ -206,20 +206,20 @@
 
 
 def change_digest(change: ChangeDocument) -> bytes:
-    """Hash the content of a change without its id."""
+    """Return the digest of a change without its id."""
     encoded = msgspec.msgpack.encode((change.base_version, change.put, change.remove))
     return hashlib.blake2b(encoded, digest_size=16).digest()
 
 
 def previous_result(state: ClusterState, change: ChangeDocument) -> ChangeResult | None:
-    """Return the answer to a change id that has been decided, if it has.
+    """Return the answer to a change id that was decided before.
 
     Args:
         state: The state.
-        change: The change, perhaps a resend.
+        change: The change, which may be a resend.
 
     Returns:
-        The first answer again, a refusal if the content differs, or None for a new id.
+        The first answer, a refusal if the content differs, or None for a new id.
     """
     earlier = state.decided.get(change.change_id)
     if earlier is None:
@@ -322,7 +322,7 @@
         version: Version that the box has in force.
 
     Returns:
-        The deltas in order, or None if they are no longer held.
+        The deltas in order, or None if they are no longer kept.
     """
     current = state.configuration.version
     if version > current or current - version > len(state.deltas):
--- a/src/ledgeladder/coordination/voters.py
+++ b/src/ledgeladder/coordination/voters.py
@@ -1,4 +1,4 @@
-"""Which members of the replicated log vote, where boxes come and go without an operator."""
+"""Chooses the voters of the replicated log while boxes join and leave without an operator."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
     from collections.abc import Callable, Collection
 
 LEARNER_CONTACT_SECONDS: Final = 1.0
-"""A learner that answered within this time, ten heartbeats, may be promoted."""
+"""Maximum time since the last answer of a learner that is promoted: several heartbeats."""
 
 VOTER_TIMEOUT_SECONDS: Final = 2.0
-"""A voter that has been inactive for this long, over one election, gives way to a learner that
-holds the whole log. The platform lets another box fail 4 s after a replacement started."""
+"""Inactivity after which a voter is replaced by a learner with the whole log. It exceeds the time
+of an election, and is short enough that the replacement finishes before the platform stops the next
+box."""
 
 
 def next_voters(
@@ -29,7 +30,7 @@
 
     Args:
         replica: The leader.
-        applicants: Member ids that asked to join.
+        applicants: Member ids that requested to join.
         now: Monotonic time in seconds.
         wanted: Number of voters, odd.
         box_of: Returns the box of a member id.
@@ -59,7 +60,7 @@
 def _replace_lost_disk(
     members: raft.Members, applicants: Collection[str], box_of: Callable[[str], str]
 ) -> raft.Members | None:
-    """Swap the member of a box whose disk is new: its old id cannot come back."""
+    """Replace the member of a box whose disk was wiped; its old id never returns."""
     for applicant in sorted(applicants):
         if applicant in members.everyone:
             continue
--- a/tests/coordination/test_claims.py
+++ b/tests/coordination/test_claims.py
@@ -57,7 +57,7 @@
 
 
 def run_history(seed: int) -> None:
-    """Claims, answers, releases and clocks that jump, in random order."""
+    """Run claims, answers, releases and clock jumps in random order."""
     rng = random.Random(seed)
     state = ClusterState()
     keys = [new_key(START_MS + number * 1000) for number in range(4)]
@@ -77,7 +77,7 @@
             dispatched[key] += 1
             complete(state, key, winner, at, rng.choice([b"ok", b""]))
         elif granted[key] and not dispatched[key]:
-            # Given back: certainly not run, so another attempt may be granted.
+            # A released request was certainly not run, so another attempt may be granted.
             holder = sorted(granted[key])[0]
             release(state, key, holder, at)
             granted[key].discard(holder)
@@ -91,28 +91,30 @@
         run_history(seed)
 
 
-def test_catches_a_reused_claim(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detects_a_reused_claim(monkeypatch: pytest.MonkeyPatch) -> None:
     original = table_module._evaluate_existing
 
-    def generous(existing, command, clock_ms):
+    def grant_unknown(existing, command, clock_ms):
         verdict = original(existing, command, clock_ms)
         if verdict.verdict is ClaimVerdict.UNKNOWN:
             return ClaimResult(verdict=ClaimVerdict.GRANTED)
         return verdict
 
-    monkeypatch.setattr(table_module, "_evaluate_existing", generous)
+    monkeypatch.setattr(table_module, "_evaluate_existing", grant_unknown)
     with pytest.raises(AssertionError, match="two attempts"):
         test_at_most_one_grant_in_random_histories()
 
 
-def test_catches_forgetting_without_refusing(monkeypatch: pytest.MonkeyPatch) -> None:
-    def careless(table, clock_ms):
+def test_detects_claims_dropped_before_their_keys_are_refused(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    def drop_without_refusing(table, clock_ms):
         for account in list(table.claims):
             for key in list(table.claims[account]):
                 if (key_time_ms(key) or 0) < clock_ms - CLAIM_WINDOW_MS:
                     table_module._forget(table, account, key)
 
-    monkeypatch.setattr(state_machine, "expire", careless)
+    monkeypatch.setattr(state_machine, "expire", drop_without_refusing)
     with pytest.raises(AssertionError, match="two attempts"):
         test_at_most_one_grant_in_random_histories()
 
@@ -143,7 +145,7 @@
     assert claim(state, keys[0], "two", later).verdict is ClaimVerdict.EXPIRED
     assert (state.claims.count, state.claims.answer_bytes) == (0, 0)
     assert not state.claims.claims
-    # The clock of a later leader lags: what was forgotten stays refused.
+    # The clock of a later leader lags, but dropped keys stay refused.
     assert claim(state, keys[0], "two", START_MS).verdict is ClaimVerdict.EXPIRED
 
 
@@ -157,7 +159,7 @@
     assert claim(state, first, "one", START_MS).verdict is ClaimVerdict.GRANTED
 
 
-def test_long_answer_is_not_kept_and_not_run_again() -> None:
+def test_request_with_a_long_answer_is_not_run_again() -> None:
     state = ClusterState()
     key = new_key(START_MS)
     claim(state, key, "one", START_MS)
--- a/tests/coordination/test_orders.py
+++ b/tests/coordination/test_orders.py
@@ -1,4 +1,4 @@
-"""Which order may go out next."""
+"""Choice of the next order to an engine."""
 
 from __future__ import annotations
 
--- a/tests/coordination/test_state_machine.py
+++ b/tests/coordination/test_state_machine.py
@@ -1,4 +1,4 @@
-"""Changes: races, resends, deltas."""
+"""Concurrent changes, resends and deltas."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     return result
 
 
-def test_first_wins_and_resends_get_the_first_answer() -> None:
+def test_first_change_wins_and_resends_get_the_first_answer() -> None:
     state = ClusterState()
     won = decide(state, change("change-one", 0, 1))
     lost = decide(state, change("change-two", 0, 2))
@@ -43,7 +43,7 @@
     assert state.configuration.version == 2
 
 
-def test_random_races_never_skip_or_revert_a_version() -> None:
+def test_random_concurrent_changes_never_skip_or_revert_a_version() -> None:
     for seed in range(200):
         rng = random.Random(seed)
         state = ClusterState()
--- a/tests/coordination/test_voters.py
+++ b/tests/coordination/test_voters.py
@@ -1,4 +1,4 @@
-"""Boxes with a disk that are wiped, replaced and added while nobody types a command."""
+"""Boxes with a disk that are wiped, replaced and added without an operator."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     return next_voters(replica, set(applicants), NOW, wanted=wanted, box_of=box_of)
 
 
-def test_wiped_box_gives_up_its_old_vote_at_once() -> None:
+def test_wiped_box_loses_its_old_vote_at_once() -> None:
     chosen = choose(leader(("a/1", "b/1", "c/1")), "c/2")
     assert chosen == Members(voters=("a/1", "b/1"), learners=("c/2",))
 
 
-def test_learner_that_caught_up_fills_the_free_place() -> None:
+def test_learner_that_caught_up_becomes_a_voter() -> None:
     chosen = choose(leader(("a/1", "b/1"), ("c/2",)))
     assert chosen == Members(voters=("a/1", "b/1", "c/2"))
 
@@ -47,7 +47,8 @@
     assert choose(leader(("a/1", "b/1"), ("c/2",), inactive=("c/2",))) is None
 
 
-def test_new_box_replaces_a_voter_that_is_gone_and_no_other() -> None:
+def test_new_box_replaces_only_an_inactive_voter() -> None:
+
     replica = leader(("a/1", "b/1", "c/1"), inactive=("c/1",))
     assert choose(replica) is None
     joined = choose(replica, "d/1")
@@ -66,7 +67,7 @@
 
 def test_log_refuses_to_change_two_voters_at_once() -> None:
     replica = leader(("a/1", "b/1", "c/1"), ("d/1", "e/1"))
-    # In the term of the newest committed entry: in another one every change is refused.
+    # Changes are refused in any term but that of the newest committed entry.
     replica.hard_state = raft.HardState(term=1)
     assert not raft.propose_members(replica, Members(voters=("a/1",)))
     assert raft.propose_members(replica, Members(voters=("a/1", "b/1")))
