--- a/src/ledgeladder/daemons/registry/lending.py
+++ b/src/ledgeladder/daemons/registry/lending.py
@@ -28,7 +28,7 @@
     is_voter = state.node.replica.is_voter
     if is_voter and state.voter_since is None:
         state.voter_since = anyio.current_time()
-        state.loan_books.clear()
+        state.quota_ledgers.clear()
     elif not is_voter:
         state.voter_since = None
 
@@ -50,7 +50,7 @@
     return RateLender(
         parts=lambda: lending_voters(state),
         may_lend=lambda: may_lend(state),
-        tell_entries=lambda message: post_to_all(state.accepted.values(), message),
+        tell_entries=lambda message: post_to_all(state.entry_links.values(), message),
         tell_peers=lambda message: post_to_all(state.peers.links.values(), message),
     )
 
@@ -76,11 +76,11 @@
 
 def _book(state: RegistryState, pool: str, opened_at: float) -> LoanBook:
     """Return what was lent for a pool; each voter lends the same part of what may be lent."""
-    book = state.loan_books.get(pool)
+    book = state.quota_ledgers.get(pool)
     if book is None:
         bounds = state.settings.bounds
         lendable = bounds.repeat_reserve * (1.0 - FLOOR_SHARE) * SHARE_USED
-        book = state.loan_books[pool] = LoanBook(
+        book = state.quota_ledgers[pool] = LoanBook(
             lendable=lendable / lending_voters(state),
             window=bounds.repeat_window_seconds,
             opened_at=opened_at,
--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -98,8 +98,8 @@
     )
     node = _open(settings, send, changed)
     state = RegistryState(settings=settings, node=node, peers=peers)
-    state.judge = build_judge(state)
-    state.lender = build_lender(state)
+    state.quarantine_controller = build_judge(state)
+    state.rate_granter = build_lender(state)
     state.table.heartbeat = settings.bounds.heartbeat_ms / 1000.0
     links.append(state)
     take_published(state)
@@ -150,9 +150,9 @@
 def take_published(state: RegistryState) -> None:
     """Decode a newly published document for the placement and send it to the entry boxes."""
     published = state.node.state.published
-    if published.version == state.told_version:
+    if published.version == state.sent_version:
         return
-    state.told_version = published.version
+    state.sent_version = published.version
     decoded = decode_configuration(zlib.decompress(published.body))
     if isinstance(decoded, Success):
         state.configuration = decoded.unwrap()
--- a/src/ledgeladder/daemons/registry/mesh.py
+++ b/src/ledgeladder/daemons/registry/mesh.py
@@ -89,7 +89,7 @@
         link: The link.
     """
     link.post(RegistrationNews(told=list_liveness(state.table, anyio.current_time())))
-    link.post(OrderOfUpstreams(order=state.order))
+    link.post(OrderOfUpstreams(order=state.upstream_index))
     link.post(hint_of(state))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_ask_to_join, state, link)
@@ -128,11 +128,11 @@
     is_control = link.peer is not None and link.peer.role is PeerRole.CONTROL
     if is_control:
         add_peers(state.peers, [link.peer_box])
-        state.accepted_peers[id(link)] = link
+        state.accepted_control_links[id(link)] = link
     else:
-        state.accepted[id(link)] = link
+        state.entry_links[id(link)] = link
         link.post(RegistrationNews(told=list_liveness(state.table, anyio.current_time())))
-        link.post(OrderOfUpstreams(order=state.order))
+        link.post(OrderOfUpstreams(order=state.upstream_index))
         link.post(quarantine_news(judge_of(state)))
         link.post(limit_news(lender_of(state)))
     link.post(hint_of(state))
@@ -143,12 +143,12 @@
                     message = await link.receive()
                 _take_in(state, tasks, link, message, is_control=is_control)
         finally:
-            state.accepted.pop(id(link), None)
+            state.entry_links.pop(id(link), None)
             state.loads.pop(id(link), None)
-            state.accepted_peers.pop(id(link), None)
+            state.accepted_control_links.pop(id(link), None)
             state.shares.pop(id(link), None)
-            state.peer_orders.pop(id(link), None)
-            state.unsure_of.pop(id(link), None)
+            state.peer_indexes.pop(id(link), None)
+            state.pending_queries.pop(id(link), None)
 
 
 def _take_in(
@@ -166,20 +166,20 @@
             for registration in merge_liveness(state.table, message.told, anyio.current_time()):
                 tell_registration(state, registration, to_peers=False)
         case OrderOfUpstreams() if is_control:
-            state.peer_orders[id(link)] = message.order
+            state.peer_indexes[id(link)] = message.order
         case ChangedOrder() if is_control:
-            state.peer_orders[id(link)] = apply_index_change(
-                _peer_order(state, link), message.change
+            state.peer_indexes[id(link)] = apply_index_change(
+                _peer_index(state, link), message.change
             )
         case RegistrationAges() if is_control:
-            told = unpack_ages(_peer_order(state, link), message.order, message.ages)
+            told = unpack_ages(_peer_index(state, link), message.order, message.ages)
             merge_ages(state.table, told, anyio.current_time())
         case PeerHint() if is_control:
             add_peers(state.peers, message.addresses, message.domains)
         case LoadReport():
             state.loads[id(link)] = ReportedLoad(loads=message.loads, at=anyio.current_time())
         case LoadShare() if is_control:
-            loads = unpack_loads(_peer_order(state, link), message.order, message.loads)
+            loads = unpack_loads(_peer_index(state, link), message.order, message.loads)
             state.shares[id(link)] = ReportedShare(
                 loads=dict(loads),
                 entries=message.entries,
@@ -215,9 +215,9 @@
             logger.warning("message of the wrong kind", extra={"peer": link.peer_box})
 
 
-def _peer_order(state: RegistryState, link: Link) -> UpstreamIndex:
+def _peer_index(state: RegistryState, link: Link) -> UpstreamIndex:
     """Return the order in which a control box tells figures."""
-    return state.peer_orders.get(id(link), UpstreamIndex())
+    return state.peer_indexes.get(id(link), UpstreamIndex())
 
 
 def _take_lost_report(state: RegistryState, link: Link, instance: str) -> None:
@@ -238,4 +238,4 @@
             "heard_before": round(now - known.last_seen_at, 3),
         },
     )
-    post_to_all(state.accepted.values(), LossNews(instance=instance))
+    post_to_all(state.entry_links.values(), LossNews(instance=instance))
--- a/src/ledgeladder/daemons/registry/metrics.py
+++ b/src/ledgeladder/daemons/registry/metrics.py
@@ -24,7 +24,7 @@
         "journal_bytes": float(state.node.journal.size),
         "journal_syncs": float(state.node.syncs),
         "upstreams": float(len(state.table.known)),
-        "entry_links": float(len(state.accepted)),
+        "entry_links": float(len(state.entry_links)),
         "control_links": float(len(state.peers.links)),
         "orders_unconfirmed": float(len(state.ledger.sent)),
     }
--- a/src/ledgeladder/daemons/registry/newest.py
+++ b/src/ledgeladder/daemons/registry/newest.py
@@ -78,7 +78,7 @@
         # Control boxes believe the leader only, or two of them could refresh each other for ever.
         age = None
     elif age is None:
-        state.unsure_of[id(link)] = query
+        state.pending_queries[id(link)] = query
     reply = VersionReply(
         call=query.call,
         version=state.node.state.published.version,
@@ -119,9 +119,9 @@
 
 def answer_open_questions(state: RegistryState) -> None:
     """Answer the entry boxes that asked while this box was sure of nothing."""
-    open_questions, state.unsure_of = state.unsure_of, {}
+    open_questions, state.pending_queries = state.pending_queries, {}
     for number, query in open_questions.items():
-        link = state.accepted.get(number)
+        link = state.entry_links.get(number)
         if link is not None:
             answer_version(state, link, query)
 
--- a/src/ledgeladder/daemons/registry/order_sending.py
+++ b/src/ledgeladder/daemons/registry/order_sending.py
@@ -81,13 +81,13 @@
         reached, carries out another one, or this box leads no more. `BACKING_OFF` if it wants none;
         the order is due again later, as any that was not answered.
     """
-    if is_backing_off(state.rests, engine.instance, clock.now()):
+    if is_backing_off(state.backoffs, engine.instance, clock.now()):
         return OrderOutcome.BACKING_OFF
     note_own_calls(lender_of(state), engine.instance, CALLS_OF_AN_ORDER)
     try:
         return await _send_order(state, engine, holding, fence)
     except RestAskedError as error:
-        record_backoff(state.rests, engine.instance, error.seconds, clock.now())
+        record_backoff(state.backoffs, engine.instance, error.seconds, clock.now())
         logger.warning(
             "engine asks for rest",
             extra={"upstream": engine.instance, "seconds": round(error.seconds, 3)},
--- a/src/ledgeladder/daemons/registry/placing.py
+++ b/src/ledgeladder/daemons/registry/placing.py
@@ -30,7 +30,7 @@
 )
 from ...routing.placement_repair import plan_repairs
 from .order_sending import may_order, order_layers, written_range
-from .state import heard_until
+from .state import controls_last_seen
 
 if TYPE_CHECKING:
     from ...model.registration import Holding, Registration
@@ -312,7 +312,7 @@
     now = anyio.current_time()
     if now - state.ledger.repaired_at < REPAIR_SECONDS:
         return []
-    until = heard_until(state)
+    until = controls_last_seen(state)
     up = {item.instance: item for item in engines if _is_up(state, item, now, until)}
     orders = [
         (up[instance], order.holding)
--- a/src/ledgeladder/daemons/registry/state.py
+++ b/src/ledgeladder/daemons/registry/state.py
@@ -62,7 +62,7 @@
     """When it said so, on the monotonic clock."""
 
 
-class PendingNews(msgspec.Struct, kw_only=True):
+class PendingUpdates(msgspec.Struct, kw_only=True):
     """What upstreams said that other boxes have not been told yet."""
 
     told_at: float = float("-inf")
@@ -123,13 +123,13 @@
     table: RegistrationTable = msgspec.field(default_factory=RegistrationTable)
     """Upstreams that registered."""
 
-    accepted: dict[int, Link] = msgspec.field(default_factory=dict)
+    entry_links: dict[int, Link] = msgspec.field(default_factory=dict)
     """Links that entry boxes opened, by `id` of the link."""
 
-    accepted_peers: dict[int, Link] = msgspec.field(default_factory=dict)
+    accepted_control_links: dict[int, Link] = msgspec.field(default_factory=dict)
     """Links that other control boxes opened, by `id` of the link."""
 
-    news: PendingNews = msgspec.field(default_factory=PendingNews)
+    pending_updates: PendingUpdates = msgspec.field(default_factory=PendingUpdates)
     """What upstreams said and others have not been told yet."""
 
     loads: dict[int, ReportedLoad] = msgspec.field(default_factory=dict)
@@ -138,16 +138,16 @@
     shares: dict[int, ReportedShare] = msgspec.field(default_factory=dict)
     """Newest share of each other control box, by `id` of its link."""
 
-    order: UpstreamIndex = UpstreamIndex()
+    upstream_index: UpstreamIndex = UpstreamIndex()
     """Order in which figures of upstreams are told to other boxes."""
 
-    peer_orders: dict[int, UpstreamIndex] = msgspec.field(default_factory=dict)
+    peer_indexes: dict[int, UpstreamIndex] = msgspec.field(default_factory=dict)
     """The order in which each other control box tells them, by `id` of its link."""
 
     freshness: Freshness = msgspec.field(default_factory=Freshness)
     """What the leader said of the newest version; not used while this box is sure itself."""
 
-    unsure_of: dict[int, VersionQuery] = msgspec.field(default_factory=dict)
+    pending_queries: dict[int, VersionQuery] = msgspec.field(default_factory=dict)
     """Newest question of each entry box that came while this box was sure of nothing, by `id` of
     its link."""
 
@@ -157,7 +157,7 @@
     next_call: int = 1
     """Number of the next command that is passed on."""
 
-    loan_books: dict[str, LoanBook] = msgspec.field(default_factory=dict)
+    quota_ledgers: dict[str, LoanBook] = msgspec.field(default_factory=dict)
     """Repeats that this box has lent, by pool."""
 
     voter_since: float | None = None
@@ -172,26 +172,26 @@
     published_changed: anyio.Event = msgspec.field(default_factory=anyio.Event)
     """Set once a newer document was applied."""
 
-    rests: Backoffs = msgspec.field(default_factory=Backoffs)
+    backoffs: Backoffs = msgspec.field(default_factory=Backoffs)
     """Engines that asked this box for rest, by run."""
 
     losses: LossEvidence = msgspec.field(default_factory=LossEvidence)
     """Reports of entry boxes on engines that they found dead."""
 
-    told_version: int = 0
+    sent_version: int = 0
     """Version of the document that was last sent to entry boxes."""
 
-    judge: ContentJudge | None = None
+    quarantine_controller: ContentJudge | None = None
     """What it knows of contents under which upstreams end; None before the state is built."""
 
-    lender: RateLender | None = None
+    rate_granter: RateLender | None = None
     """Limits that upstreams name, and what it lends of them; None before the state is built."""
 
     stopping: bool = False
     """True once a planned stop has begun."""
 
 
-def heard_until(state: RegistryState) -> float | None:
+def controls_last_seen(state: RegistryState) -> float | None:
     """Return the moment up to which all other control boxes were heard, on the monotonic clock.
 
     An engine that sends its heartbeats to a box that is cut off without a word is silent here from
@@ -203,18 +203,18 @@
     """
     if len(state.peers.links) < len(state.peers.known):
         return None
-    heard = {link.peer_box: link.received_at for link in state.accepted_peers.values()}
+    heard = {link.peer_box: link.received_at for link in state.accepted_control_links.values()}
     never = float("-inf")
     return min((heard.get(address, never) for address in state.peers.known), default=float("inf"))
 
 
 def judge_of(state: RegistryState) -> ContentJudge:
     """Return what a process knows of contents under which upstreams end."""
-    assert state.judge is not None
-    return state.judge
+    assert state.quarantine_controller is not None
+    return state.quarantine_controller
 
 
 def lender_of(state: RegistryState) -> RateLender:
     """Return what a process knows of limits that upstreams name."""
-    assert state.lender is not None
-    return state.lender
+    assert state.rate_granter is not None
+    return state.rate_granter
--- a/src/ledgeladder/daemons/registry/telling.py
+++ b/src/ledgeladder/daemons/registry/telling.py
@@ -70,8 +70,10 @@
     """
     published = state.node.state.published
     push = DocumentPush(version=published.version, body=published.body)
-    numbers = state.loads or state.accepted
-    post_to_all([state.accepted[number] for number in numbers if number in state.accepted], push)
+    numbers = state.loads or state.entry_links
+    post_to_all(
+        [state.entry_links[number] for number in numbers if number in state.entry_links], push
+    )
 
 
 def tell_registration(state: RegistryState, registration: Registration, *, to_peers: bool) -> None:
@@ -83,18 +85,18 @@
         to_peers: True if it was heard here, so that the other control boxes must be told.
     """
     now = anyio.current_time()
-    state.news.put(registration, now, to_peers=to_peers)
-    if now - state.news.told_at >= NEWS_SECONDS:
+    state.pending_updates.put(registration, now, to_peers=to_peers)
+    if now - state.pending_updates.sent_at >= NEWS_SECONDS:
         _tell_news(state, now)
     else:
-        state.news.wake.set()
+        state.pending_updates.wake.set()
 
 
 def _tell_news(state: RegistryState, now: float) -> None:
-    news = state.news
+    news = state.pending_updates
     told, to_peers = news.take(now)
     if told:
-        post_to_all(state.accepted.values(), RegistrationNews(told=told))
+        post_to_all(state.entry_links.values(), RegistrationNews(told=told))
     if to_peers:
         post_to_all(state.peers.links.values(), RegistrationNews(told=to_peers))
 
@@ -102,20 +104,22 @@
 async def tell_news(state: RegistryState) -> None:
     """Tell what upstreams said too soon after the news before it, for ever."""
     while True:
-        await state.news.wake.wait()
-        state.news.wake = anyio.Event()
-        await anyio.sleep(max(0.0, state.news.told_at + NEWS_SECONDS - anyio.current_time()))
+        await state.pending_updates.wake.wait()
+        state.pending_updates.wake = anyio.Event()
+        await anyio.sleep(
+            max(0.0, state.pending_updates.sent_at + NEWS_SECONDS - anyio.current_time())
+        )
         _tell_news(state, anyio.current_time())
 
 
 def _renew_order(state: RegistryState) -> UpstreamIndex:
     """Bring the own order up to date, and tell all who are told figures what changed in it."""
-    change = diff_index(state.order, state.table.known)
+    change = diff_index(state.upstream_index, state.table.known)
     if change is not None:
-        state.order = apply_index_change(state.order, change)
-        links = [*state.peers.links.values(), *state.accepted.values()]
+        state.upstream_index = apply_index_change(state.upstream_index, change)
+        links = [*state.peers.links.values(), *state.entry_links.values()]
         post_to_all(links, ChangedOrder(change=change))
-    return state.order
+    return state.upstream_index
 
 
 def _known_controls(state: RegistryState) -> tuple[str, ...]:
@@ -145,13 +149,13 @@
         )
         post_to_all(state.peers.links.values(), told)
         if now - entries_told_at >= _ages_interval(len(order.instances)):
-            post_to_all(state.accepted.values(), told)
+            post_to_all(state.entry_links.values(), told)
             entries_told_at = now
         hint = hint_of(state)
         # Other control boxes may hear nothing else on the links that they opened.
-        post_to_all(state.accepted_peers.values(), hint)
+        post_to_all(state.accepted_control_links.values(), hint)
         if hint != hinted or now - hinted_at >= HINT_SECONDS:
-            post_to_all(state.accepted.values(), hint)
+            post_to_all(state.entry_links.values(), hint)
             hinted, hinted_at = hint, now
 
 
@@ -166,7 +170,7 @@
 def hint_of(state: RegistryState) -> PeerHint:
     """Return the control boxes that are known, with their failure domains."""
     domains = {state.peers.own_address: state.peers.identity.failure_domain}
-    for link in state.accepted_peers.values():
+    for link in state.accepted_control_links.values():
         if link.peer is not None:
             domains[link.peer_box] = link.peer.failure_domain
     return PeerHint(addresses=_known_controls(state), domains=domains)
@@ -180,7 +184,7 @@
     told: tuple[bytes, bytes] = (b"", b"")
     told_at = 0.0
     while True:
-        told_bytes = LOAD_BYTES * len(state.order.instances)
+        told_bytes = LOAD_BYTES * len(state.upstream_index.instances)
         controls = len(state.peers.known) + 1
         await anyio.sleep(load_interval(known_entries(state), controls, told_bytes))
         now = anyio.current_time()
@@ -196,4 +200,4 @@
         share = LoadShare(order=order.number, loads=own, entries=len(state.loads))
         post_to_all(state.peers.links.values(), share)
         totals = LoadTotals(order=order.number, loads=sums)
-        post_to_all((state.accepted[number] for number in state.loads), totals)
+        post_to_all((state.entry_links[number] for number in state.loads), totals)
--- a/src/ledgeladder/daemons/registry/upstream_ends.py
+++ b/src/ledgeladder/daemons/registry/upstream_ends.py
@@ -10,7 +10,7 @@
 from ...coordination.registrations import superseded_instances
 from ...links import post_to_all
 from ..content_judge import ContentJudge
-from .state import heard_until
+from .state import controls_last_seen
 
 if TYPE_CHECKING:
     from .state import RegistryState
@@ -20,7 +20,7 @@
     """Return what judges contents with the links of a registry process."""
     return ContentJudge(
         node=state.node,
-        tell_entries=lambda message: post_to_all(state.accepted.values(), message),
+        tell_entries=lambda message: post_to_all(state.entry_links.values(), message),
         tell_peers=lambda message: post_to_all(state.peers.links.values(), message),
         has_ended=lambda instance: has_ended(state, instance),
     )
@@ -42,7 +42,7 @@
         known.last_seen_at,
         anyio.current_time(),
         state.table.heartbeat,
-        seen_until=heard_until(state),
+        seen_until=controls_last_seen(state),
     )
     # Last, since it looks at every upstream.
     return is_lost or instance in superseded_instances(state.table)
--- a/tests/daemons/registry/test_newest.py
+++ b/tests/daemons/registry/test_newest.py
@@ -42,7 +42,7 @@
         leader_box="",
     )
     peers = SimpleNamespace(links={})
-    return SimpleNamespace(node=node, peers=peers, accepted={id(link): link}, unsure_of={})
+    return SimpleNamespace(node=node, peers=peers, entry_links={id(link): link}, pending_queries={})
 
 
 @pytest.fixture
@@ -79,7 +79,7 @@
     link = Recorder(role="control")
     state = registry(link)
     answer_version(state, link, VersionQuery(call=1))
-    assert not state.unsure_of
+    assert not state.pending_queries
     link = Recorder()
     answer_version(state, link, VersionQuery(call=2))
     knowledge["age"] = 0.0
--- a/tests/daemons/registry/test_state.py
+++ b/tests/daemons/registry/test_state.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ledgeladder.daemons.registry.state import heard_until
+from ledgeladder.daemons.registry.state import controls_last_seen
 
 
 def registry(known: list[str], linked: list[str], received: dict[str, float]) -> Any:
@@ -17,7 +17,7 @@
     }
     return SimpleNamespace(
         peers=SimpleNamespace(known=dict.fromkeys(known, 0.0), links=dict.fromkeys(linked)),
-        accepted_peers=links,
+        accepted_control_links=links,
     )
 
 
@@ -34,4 +34,4 @@
 def test_box_that_was_heard_longest_ago_decides(
     known: list[str], linked: list[str], received: dict[str, float], until: float | None
 ) -> None:
-    assert heard_until(registry(known, linked, received)) == until
+    assert controls_last_seen(registry(known, linked, received)) == until
--- a/tests/daemons/registry/test_telling.py
+++ b/tests/daemons/registry/test_telling.py
@@ -14,7 +14,7 @@
 from ledgeladder.coordination.upstream_order import UpstreamIndex
 from ledgeladder.daemons.peers import SILENCE_SECONDS
 from ledgeladder.daemons.registry import telling
-from ledgeladder.daemons.registry.state import PendingNews
+from ledgeladder.daemons.registry.state import PendingUpdates
 from ledgeladder.links.frames import FRAME_LIMIT, FrameBuffer
 from ledgeladder.links.messages import (
     ChangedOrder,
@@ -55,10 +55,10 @@
     state: Any = SimpleNamespace(
         table=RegistrationTable(),
         losses=LossEvidence(),
-        order=UpstreamIndex(),
+        upstream_index=UpstreamIndex(),
         peers=SimpleNamespace(links={"10.0.0.2": opened}),
-        accepted={1: entry},
-        accepted_peers={2: accepted},
+        entry_links={1: entry},
+        accepted_control_links={2: accepted},
         node=SimpleNamespace(replica=SimpleNamespace(is_voter=False)),
         voter_since=None,
     )
@@ -96,7 +96,7 @@
     published = SimpleNamespace(version=7, body=b"body")
     state: Any = SimpleNamespace(
         node=SimpleNamespace(state=SimpleNamespace(published=published)),
-        accepted=dict(links),
+        entry_links=dict(links),
         loads={},
     )
     telling.push_document(state)
@@ -133,11 +133,11 @@
     clock = [0.0]
     entry, peer = Recorder(clock), Recorder(clock)
     state: Any = SimpleNamespace(
-        news=PendingNews(),
-        order=UpstreamIndex(),
+        pending_updates=PendingUpdates(),
+        upstream_index=UpstreamIndex(),
         table=RegistrationTable(),
         peers=SimpleNamespace(links={"10.0.0.2": peer}),
-        accepted={1: entry},
+        entry_links={1: entry},
     )
     monkeypatch.setattr(telling.anyio, "current_time", lambda: clock[0])
 
@@ -177,7 +177,7 @@
 
 
 def test_first_news_goes_at_once_and_of_one_run_the_newest_counts() -> None:
-    news = PendingNews()
+    news = PendingUpdates()
     news.put(registration(1), 5.0, to_peers=True)
     news.put(registration(2), 5.1, to_peers=False)
     gone = Registration(instance=registration(1).instance, sequence=0, state=UpstreamState.GONE)
--- a/tests/daemons/test_content_judge.py
+++ b/tests/daemons/test_content_judge.py
@@ -140,7 +140,7 @@
         table=RegistrationTable(heartbeat=1.0),
         losses=LossEvidence(),
         peers=SimpleNamespace(links={}, known={}),
-        accepted_peers={},
+        accepted_control_links={},
     )
 
     async def play() -> None:
--- a/tests/daemons/test_late_orders.py
+++ b/tests/daemons/test_late_orders.py
@@ -48,8 +48,8 @@
     return SimpleNamespace(
         settings=SimpleNamespace(box=SimpleNamespace(address=LOCAL)),
         node=SimpleNamespace(replica=SimpleNamespace(term=term)),
-        rests=Backoffs(),
-        lender=RateLender(
+        backoffs=Backoffs(),
+        rate_granter=RateLender(
             parts=lambda: 1,
             may_lend=lambda: True,
             tell_entries=lambda _message: None,
--- a/tests/daemons/test_resting_engines.py
+++ b/tests/daemons/test_resting_engines.py
@@ -53,10 +53,10 @@
                 assert outcome is OrderOutcome.BACKING_OFF
             assert refused(upstream) == 1
             set_mood(upstream)
-            state.rests.until[upstream.instance] = anyio.current_time()
+            state.backoffs.until[upstream.instance] = anyio.current_time()
             outcome = await order_sending.send_order(state, registered, holding, 1)
             assert outcome is OrderOutcome.STARTED
-            assert not state.rests.until
+            assert not state.backoffs.until
             tasks.cancel_scope.cancel()
 
     anyio.run(play)
