--- a/src/ledgeladder/daemons/registry/load_sums.py
+++ b/src/ledgeladder/daemons/registry/load_sums.py
@@ -48,7 +48,7 @@
 
 
 def _is_recent(report: ReportedLoad | ReportedShare, now: float) -> bool:
-    return now - report.at <= LOAD_BELIEVED_SECONDS
+    return now - report.reported_at <= LOAD_BELIEVED_SECONDS
 
 
 def _add_up(parts: Iterable[dict[str, LoadFigures]]) -> dict[str, LoadFigures]:
--- a/src/ledgeladder/daemons/registry/mesh.py
+++ b/src/ledgeladder/daemons/registry/mesh.py
@@ -177,13 +177,15 @@
         case PeerHint() if is_control:
             add_peers(state.peers, message.addresses, message.domains)
         case LoadReport():
-            state.loads[id(link)] = ReportedLoad(loads=message.loads, at=anyio.current_time())
+            state.loads[id(link)] = ReportedLoad(
+                loads=message.loads, reported_at=anyio.current_time()
+            )
         case LoadShare() if is_control:
             loads = unpack_loads(_peer_index(state, link), message.order, message.loads)
             state.shares[id(link)] = ReportedShare(
                 loads=dict(loads),
                 entries=message.entries,
-                at=anyio.current_time(),
+                reported_at=anyio.current_time(),
             )
         case OrderNews() if is_control:
             record_reported_order(
--- a/src/ledgeladder/daemons/registry/state.py
+++ b/src/ledgeladder/daemons/registry/state.py
@@ -45,7 +45,7 @@
     loads: dict[str, LoadFigures]
     """Load by run of the upstream."""
 
-    at: float
+    reported_at: float
     """When it said so, on the monotonic clock."""
 
 
@@ -58,36 +58,36 @@
     entries: int
     """Their number."""
 
-    at: float
+    reported_at: float
     """When it said so, on the monotonic clock."""
 
 
 class PendingUpdates(msgspec.Struct, kw_only=True):
     """What upstreams said that other boxes have not been told yet."""
 
-    told_at: float = float("-inf")
+    sent_at: float = float("-inf")
     """When news was told last, on the monotonic clock."""
 
-    said: dict[str, Registration] = msgspec.field(default_factory=dict)
+    registrations: dict[str, Registration] = msgspec.field(default_factory=dict)
     """Newest news by run of the upstream."""
 
-    heard_at: dict[str, float] = msgspec.field(default_factory=dict)
+    received_at: dict[str, float] = msgspec.field(default_factory=dict)
     """When it came, on the monotonic clock."""
 
-    heard_here: set[str] = msgspec.field(default_factory=set)
+    received_here: set[str] = msgspec.field(default_factory=set)
     """Runs that told this box, of which the other control boxes must hear."""
 
     wake: anyio.Event = msgspec.field(default_factory=anyio.Event)
     """Set when there is news that waits."""
 
-    def put(self, registration: Registration, now: float, *, to_peers: bool) -> None:
+    def add(self, registration: Registration, now: float, *, to_peers: bool) -> None:
         """Add news; of one run only the newest is told."""
-        self.said[registration.instance] = registration
-        self.heard_at[registration.instance] = now
+        self.registrations[registration.instance] = registration
+        self.received_at[registration.instance] = now
         if to_peers:
-            self.heard_here.add(registration.instance)
+            self.received_here.add(registration.instance)
 
-    def take(self, now: float) -> tuple[tuple[Liveness, ...], tuple[Liveness, ...]]:
+    def pop_all(self, now: float) -> tuple[tuple[Liveness, ...], tuple[Liveness, ...]]:
         """Take all news out.
 
         Args:
@@ -97,14 +97,14 @@
             What entry boxes are told, and what other control boxes are told, with ages in seconds.
         """
         told = {
-            name: Liveness(registration=item, age=max(0.0, now - self.heard_at[name]))
-            for name, item in self.said.items()
+            name: Liveness(registration=item, age=max(0.0, now - self.received_at[name]))
+            for name, item in self.registrations.items()
         }
-        to_peers = tuple(item for name, item in told.items() if name in self.heard_here)
-        self.said.clear()
-        self.heard_at.clear()
-        self.heard_here.clear()
-        self.told_at = now
+        to_peers = tuple(item for name, item in told.items() if name in self.received_here)
+        self.registrations.clear()
+        self.received_at.clear()
+        self.received_here.clear()
+        self.sent_at = now
         return tuple(told.values()), to_peers
 
 
--- a/src/ledgeladder/daemons/registry/telling.py
+++ b/src/ledgeladder/daemons/registry/telling.py
@@ -85,7 +85,7 @@
         to_peers: True if it was heard here, so that the other control boxes must be told.
     """
     now = anyio.current_time()
-    state.pending_updates.put(registration, now, to_peers=to_peers)
+    state.pending_updates.add(registration, now, to_peers=to_peers)
     if now - state.pending_updates.sent_at >= NEWS_SECONDS:
         _tell_news(state, now)
     else:
@@ -94,7 +94,7 @@
 
 def _tell_news(state: RegistryState, now: float) -> None:
     news = state.pending_updates
-    told, to_peers = news.take(now)
+    told, to_peers = news.pop_all(now)
     if told:
         post_to_all(state.entry_links.values(), RegistrationNews(told=told))
     if to_peers:
--- a/tests/daemons/registry/test_telling.py
+++ b/tests/daemons/registry/test_telling.py
@@ -178,12 +178,12 @@
 
 def test_first_news_goes_at_once_and_of_one_run_the_newest_counts() -> None:
     news = PendingUpdates()
-    news.put(registration(1), 5.0, to_peers=True)
-    news.put(registration(2), 5.1, to_peers=False)
+    news.add(registration(1), 5.0, to_peers=True)
+    news.add(registration(2), 5.1, to_peers=False)
     gone = Registration(instance=registration(1).instance, sequence=0, state=UpstreamState.GONE)
-    news.put(gone, 5.2, to_peers=True)
-    told, to_peers = news.take(5.3)
+    news.add(gone, 5.2, to_peers=True)
+    told, to_peers = news.pop_all(5.3)
     assert [item.registration for item in told] == [gone, registration(2)]
     assert [item.registration for item in to_peers] == [gone]
     assert told[1].age == pytest.approx(0.2)
-    assert news.take(5.4) == ((), ())
+    assert news.pop_all(5.4) == ((), ())
