--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -36,7 +36,7 @@
 from .metrics import metrics_lines
 from .newest import keep_asking
 from .placing import run_placing
-from .state import RegistryState, judge_of, lender_of
+from .state import RegistryState, quarantine_controller_of, rate_granter_of
 from .telling import push_document, tell_ages, tell_loads, tell_news
 from .upstream_ends import build_judge
 
@@ -170,7 +170,7 @@
     while True:
         await state.published_changed.wait()
         state.published_changed = anyio.Event()
-        tell_quarantine(judge_of(state))
+        tell_quarantine(quarantine_controller_of(state))
         take_published(state)
 
 
@@ -232,10 +232,14 @@
         Child(name="loads", run=lambda: tell_loads(state), restart=Restart.ALWAYS),
         Child(name="newest", run=lambda: keep_asking(state), restart=Restart.ALWAYS),
         Child(name="publishing", run=lambda: keep_publishing(state), restart=Restart.ALWAYS),
-        Child(name="quarantine", run=lambda: keep_judging(judge_of(state)), restart=Restart.ALWAYS),
+        Child(
+            name="quarantine",
+            run=lambda: keep_judging(quarantine_controller_of(state)),
+            restart=Restart.ALWAYS,
+        ),
         Child(
             name="limits",
-            run=lambda: keep_telling_limits(lender_of(state)),
+            run=lambda: keep_telling_limits(rate_granter_of(state)),
             restart=Restart.ALWAYS,
         ),
         Child(name="placing", run=lambda: run_placing(state), restart=Restart.ALWAYS),
--- a/src/ledgeladder/daemons/registry/mesh.py
+++ b/src/ledgeladder/daemons/registry/mesh.py
@@ -53,7 +53,7 @@
 from ..rate_lender import answer_grants, limit_news, take_limits
 from .lending import answer_loan
 from .newest import answer_command, answer_version, take_command_reply, take_version_reply
-from .state import ReportedLoad, ReportedShare, judge_of, lender_of
+from .state import ReportedLoad, ReportedShare, quarantine_controller_of, rate_granter_of
 from .telling import hint_of, tell_registration
 
 if TYPE_CHECKING:
@@ -133,8 +133,8 @@
         state.entry_links[id(link)] = link
         link.post(RegistrationNews(told=list_liveness(state.table, anyio.current_time())))
         link.post(OrderOfUpstreams(order=state.upstream_index))
-        link.post(quarantine_news(judge_of(state)))
-        link.post(limit_news(lender_of(state)))
+        link.post(quarantine_news(quarantine_controller_of(state)))
+        link.post(limit_news(rate_granter_of(state)))
     link.post(hint_of(state))
     async with anyio.create_task_group() as tasks:
         try:
@@ -198,13 +198,13 @@
         case LoanRequest():
             answer_loan(state, link, message)
         case RateLimitNews():
-            take_limits(lender_of(state), message.limits, to_peers=not is_control)
+            take_limits(rate_granter_of(state), message.limits, to_peers=not is_control)
         case GrantRequest():
-            answer_grants(lender_of(state), link, message)
+            answer_grants(rate_granter_of(state), link, message)
         case CrashReport():
-            take_crash_report(judge_of(state), message, to_peers=not is_control)
+            take_crash_report(quarantine_controller_of(state), message, to_peers=not is_control)
         case ContentServed():
-            take_served(judge_of(state), message, to_peers=not is_control)
+            take_served(quarantine_controller_of(state), message, to_peers=not is_control)
         case LostReport():
             _take_lost_report(state, link, message.instance)
         case VersionQuery():
--- a/src/ledgeladder/daemons/registry/order_sending.py
+++ b/src/ledgeladder/daemons/registry/order_sending.py
@@ -17,7 +17,7 @@
 from .. import clock
 from ..engine_call import fetch_report, send_call
 from ..rate_lender import note_own_calls
-from .state import lender_of
+from .state import rate_granter_of
 
 if TYPE_CHECKING:
     from ...model.registration import Holding, Registration
@@ -83,7 +83,7 @@
     """
     if is_backing_off(state.backoffs, engine.instance, clock.now()):
         return OrderOutcome.BACKING_OFF
-    note_own_calls(lender_of(state), engine.instance, CALLS_OF_AN_ORDER)
+    note_own_calls(rate_granter_of(state), engine.instance, CALLS_OF_AN_ORDER)
     try:
         return await _send_order(state, engine, holding, fence)
     except RestAskedError as error:
--- a/src/ledgeladder/daemons/registry/state.py
+++ b/src/ledgeladder/daemons/registry/state.py
@@ -208,13 +208,13 @@
     return min((heard.get(address, never) for address in state.peers.known), default=float("inf"))
 
 
-def judge_of(state: RegistryState) -> ContentJudge:
+def quarantine_controller_of(state: RegistryState) -> ContentJudge:
     """Return what a process knows of contents under which upstreams end."""
     assert state.quarantine_controller is not None
     return state.quarantine_controller
 
 
-def lender_of(state: RegistryState) -> RateLender:
+def rate_granter_of(state: RegistryState) -> RateLender:
     """Return what a process knows of limits that upstreams name."""
     assert state.rate_granter is not None
     return state.rate_granter
