--- a/src/ledgeladder/daemons/registry/http_api.py
+++ b/src/ledgeladder/daemons/registry/http_api.py
@@ -25,7 +25,7 @@
     read_control_call,
 )
 from ..plain_problems import write_problem
-from .newest import publish, wait_until_sure
+from .published_version import publish, wait_until_fresh
 from .telling import tell_registration
 
 if TYPE_CHECKING:
@@ -147,7 +147,7 @@
 async def _read(
     state: RegistryState, counters: Counter[str], request: HttpRequest, exchange: Exchange
 ) -> None:
-    if not await wait_until_sure(state, request.arrived_at, READ_SECONDS):
+    if not await wait_until_fresh(state, request.arrived_at, READ_SECONDS):
         counters[ResultCode.BELIEF_STALE.name] += 1
         logger.warning("read refused", extra={"version": state.node.state.published.version})
         await write_problem(exchange, Problem(code=ResultCode.BELIEF_STALE, retry_after=0.5))
--- a/src/ledgeladder/daemons/registry/lending.py
+++ b/src/ledgeladder/daemons/registry/lending.py
@@ -13,7 +13,7 @@
 from ...routing.repeat_loans import FLOOR_SHARE, LoanBook, lend
 from ...routing.repeat_window import SHARE_USED
 from ..rate_lender import RateLender
-from .newest import current_knowledge
+from .published_version import version_age
 
 if TYPE_CHECKING:
     from ...links import Link
@@ -35,7 +35,7 @@
 
 def may_lend(state: RegistryState) -> bool:
     """Tell whether this box is a voter and has heard so lately."""
-    age = current_knowledge(state) if state.voter_since is not None else None
+    age = version_age(state) if state.voter_since is not None else None
     return age is not None and age <= LEADER_CONTACT_SECONDS
 
 
@@ -68,7 +68,7 @@
                 "peer": link.peer_box,
                 "pool": request.pool,
                 "lent": count,
-                "age": current_knowledge(state),
+                "age": version_age(state),
             },
         )
     link.post(LoanReply(call=request.call, count=count))
--- a/src/ledgeladder/daemons/registry/load_sums.py
+++ b/src/ledgeladder/daemons/registry/load_totals.py
@@ -15,13 +15,13 @@
     from .state import RegistryState, ReportedLoad, ReportedShare
 
 
-def drop_old_reports(state: RegistryState, now: float) -> None:
+def drop_expired_reports(state: RegistryState, now: float) -> None:
     """Forget entry boxes that report to another control box by now, or do not report at all."""
     for number in [item for item, report in state.loads.items() if not _is_recent(report, now)]:
         del state.loads[number]
 
 
-def known_entries(state: RegistryState) -> int:
+def count_entries(state: RegistryState) -> int:
     """Return how many entry boxes report to any control box, as far as is known; at least 1."""
     now = anyio.current_time()
     others = sum(item.entries for item in state.shares.values() if _is_recent(item, now))
@@ -39,19 +39,21 @@
         Load by run of the upstream; upstreams without any are left out.
     """
     shares = [item.loads for item in state.shares.values() if _is_recent(item, now)]
-    return _add_up([own_loads(state, now), *shares])
+    return _sum_by_instance([local_loads(state, now), *shares])
 
 
-def own_loads(state: RegistryState, now: float) -> dict[str, LoadFigures]:
+def local_loads(state: RegistryState, now: float) -> dict[str, LoadFigures]:
     """Add up what the entry boxes that report here said lately."""
-    return _add_up(report.loads for report in state.loads.values() if _is_recent(report, now))
+    return _sum_by_instance(
+        report.loads for report in state.loads.values() if _is_recent(report, now)
+    )
 
 
 def _is_recent(report: ReportedLoad | ReportedShare, now: float) -> bool:
     return now - report.reported_at <= LOAD_BELIEVED_SECONDS
 
 
-def _add_up(parts: Iterable[dict[str, LoadFigures]]) -> dict[str, LoadFigures]:
+def _sum_by_instance(parts: Iterable[dict[str, LoadFigures]]) -> dict[str, LoadFigures]:
     sums: dict[str, tuple[int, float]] = {}
     for loads in parts:
         for instance, load in loads.items():
--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -34,8 +34,8 @@
 from .lending import build_lender
 from .mesh import send_to_member, serve_accepted, serve_peer
 from .metrics import metrics_lines
-from .newest import keep_asking
 from .placing import run_placing
+from .published_version import poll_leader
 from .state import RegistryState, quarantine_controller_of, rate_granter_of
 from .telling import push_document, tell_ages, tell_loads, tell_news
 from .upstream_ends import build_judge
@@ -230,7 +230,7 @@
         Child(name="ages", run=lambda: tell_ages(state), restart=Restart.ALWAYS),
         Child(name="news", run=lambda: tell_news(state), restart=Restart.ALWAYS),
         Child(name="loads", run=lambda: tell_loads(state), restart=Restart.ALWAYS),
-        Child(name="newest", run=lambda: keep_asking(state), restart=Restart.ALWAYS),
+        Child(name="newest", run=lambda: poll_leader(state), restart=Restart.ALWAYS),
         Child(name="publishing", run=lambda: keep_publishing(state), restart=Restart.ALWAYS),
         Child(
             name="quarantine",
--- a/src/ledgeladder/daemons/registry/mesh.py
+++ b/src/ledgeladder/daemons/registry/mesh.py
@@ -52,7 +52,12 @@
 from ..peers import SILENCE_SECONDS, add_peers
 from ..rate_lender import answer_grants, limit_news, take_limits
 from .lending import answer_loan
-from .newest import answer_command, answer_version, take_command_reply, take_version_reply
+from .published_version import (
+    handle_command_reply,
+    handle_command_request,
+    handle_version_query,
+    handle_version_reply,
+)
 from .state import ReportedLoad, ReportedShare, quarantine_controller_of, rate_granter_of
 from .telling import hint_of, tell_registration
 
@@ -98,9 +103,9 @@
                 message = await link.receive()
             match message:
                 case VersionReply():
-                    take_version_reply(state, message)
+                    handle_version_reply(state, message)
                 case CommandReply():
-                    take_command_reply(state, message)
+                    handle_command_reply(state, message)
                 case PeerHint():
                     add_peers(state.peers, message.addresses, message.domains)
                 case _:
@@ -161,7 +166,7 @@
         case JoinRequest() if is_control and box_of(message.member_id) == link.peer_box:
             state.node.note_applicant(message.member_id)
         case CommandRequest() if is_control:
-            tasks.start_soon(answer_command, state, link, message)
+            tasks.start_soon(handle_command_request, state, link, message)
         case RegistrationNews() if is_control:
             for registration in merge_liveness(state.table, message.told, anyio.current_time()):
                 tell_registration(state, registration, to_peers=False)
@@ -208,7 +213,7 @@
         case LostReport():
             _take_lost_report(state, link, message.instance)
         case VersionQuery():
-            answer_version(state, link, message)
+            handle_version_query(state, link, message)
         case DocumentPull():
             published = state.node.state.published
             if published.version > message.version:
--- a/src/ledgeladder/daemons/registry/newest.py
+++ b/src/ledgeladder/daemons/registry/published_version.py
@@ -17,7 +17,7 @@
 from .. import clock
 from ..clock import wall_clock_ms
 from ..control.node import submit
-from .load_sums import known_entries
+from .load_totals import count_entries
 from .state import CommandWaiter
 
 if TYPE_CHECKING:
@@ -26,20 +26,20 @@
 
 logger = logging.getLogger(__name__)
 
-ASK_SECONDS: Final = 0.4
+VERSION_POLL_SECONDS: Final = 0.4
 """How often a box that does not lead asks the leader for the newest version."""
 
-ASK_UNSURE_SECONDS: Final = 0.05
+STALE_POLL_SECONDS: Final = 0.05
 """The same while this box is not sure, as after a start or the loss of the leader: about a round
 trip between failure domains and a sync of the leader's disk. Little is served meanwhile."""
 
-UNSURE_SECONDS: Final = 2.0 * ASK_SECONDS
+STALE_AFTER_SECONDS: Final = 2.0 * VERSION_POLL_SECONDS
 """Age of what is known from which on a question to the leader was lost, or there is none."""
 
-ASK_NOW_SECONDS: Final = 0.02
+READ_POLL_SECONDS: Final = 0.02
 """How often a reader that waits looks for the answer."""
 
-PUBLISH_SECONDS: Final = 3.0
+PUBLISH_TIMEOUT_SECONDS: Final = 3.0
 """How long a publication may take before its sender is told that it is not confirmed. Below the
 4 s within which the platform wants an acknowledgement, so that a second try fits in."""
 
@@ -47,7 +47,7 @@
 """How often a publication that found no leader, or was not confirmed by one, tries again."""
 
 
-def leader_is_sure(state: RegistryState) -> bool:
+def is_up_to_date_leader(state: RegistryState) -> bool:
     """Tell whether this box leads, holds its lease and has applied everything committed."""
     replica = state.node.replica
     if not replica.is_leader or not raft.holds_lease(replica, clock.now()):
@@ -56,12 +56,12 @@
     return own_term and state.node.applied_index >= replica.commit_index
 
 
-def current_knowledge(state: RegistryState) -> float | None:
+def version_age(state: RegistryState) -> float | None:
     """Return how many seconds old the knowledge of the newest version is, or None without any.
 
     A box that has not applied the version that the leader named knows it only from hearsay.
     """
-    if leader_is_sure(state):
+    if is_up_to_date_leader(state):
         return 0.0
     freshness = state.freshness
     if state.node.state.published.version < freshness.version:
@@ -70,10 +70,10 @@
     return age if age < float("inf") else None
 
 
-def answer_version(state: RegistryState, link: Link, query: VersionQuery) -> None:
+def handle_version_query(state: RegistryState, link: Link, query: VersionQuery) -> None:
     """Answer a box that asks which version is the newest."""
     from_control = link.peer is not None and link.peer.role.value == "control"
-    age = current_knowledge(state)
+    age = version_age(state)
     if from_control and age != 0.0:
         # Control boxes believe the leader only, or two of them could refresh each other for ever.
         age = None
@@ -83,24 +83,24 @@
         call=query.call,
         version=state.node.state.published.version,
         age=age,
-        entries=known_entries(state),
+        entries=count_entries(state),
     )
     link.post(reply)
 
 
-def take_version_reply(state: RegistryState, reply: VersionReply) -> None:
+def handle_version_reply(state: RegistryState, reply: VersionReply) -> None:
     """Note an answer of another control box; only the leader's carries an age and counts."""
     handle_reply(state.freshness, reply.call, reply.version, reply.age)
 
 
-def ask_leader(state: RegistryState) -> None:
+def query_leader(state: RegistryState) -> None:
     """Ask the leader which version is the newest, if it is known and reachable."""
     link = state.peers.links.get(state.node.leader_box)
     if link is not None:
         link.post(VersionQuery(call=open_query(state.freshness, anyio.current_time())))
 
 
-async def keep_asking(state: RegistryState) -> None:
+async def poll_leader(state: RegistryState) -> None:
     """Ask the leader now and then, for ever, so that entry boxes can be answered at once.
 
     Those that asked while this box was sure of nothing are answered as soon as it is. Waiting for
@@ -109,24 +109,24 @@
     """
     while True:
         if not state.node.replica.is_leader:
-            ask_leader(state)
-        age = current_knowledge(state)
+            query_leader(state)
+        age = version_age(state)
         if age is not None:
-            answer_open_questions(state)
-        is_sure = age is not None and age <= UNSURE_SECONDS
-        await anyio.sleep(ASK_SECONDS if is_sure else ASK_UNSURE_SECONDS)
+            answer_pending_queries(state)
+        is_sure = age is not None and age <= STALE_AFTER_SECONDS
+        await anyio.sleep(VERSION_POLL_SECONDS if is_sure else STALE_POLL_SECONDS)
 
 
-def answer_open_questions(state: RegistryState) -> None:
+def answer_pending_queries(state: RegistryState) -> None:
     """Answer the entry boxes that asked while this box was sure of nothing."""
     open_questions, state.pending_queries = state.pending_queries, {}
     for number, query in open_questions.items():
         link = state.entry_links.get(number)
         if link is not None:
-            answer_version(state, link, query)
+            handle_version_query(state, link, query)
 
 
-async def wait_until_sure(state: RegistryState, since: float, seconds: float) -> bool:
+async def wait_until_fresh(state: RegistryState, since: float, seconds: float) -> bool:
     """Wait until the newest version is known as of a moment after `since`.
 
     Args:
@@ -137,13 +137,13 @@
     Returns:
         False if no leader confirmed it in time.
     """
-    ask_leader(state)
+    query_leader(state)
     with anyio.move_on_after(seconds):
         while True:
-            age = current_knowledge(state)
+            age = version_age(state)
             if age is not None and anyio.current_time() - age >= since:
                 return True
-            await anyio.sleep(ASK_NOW_SECONDS)
+            await anyio.sleep(READ_POLL_SECONDS)
     return False
 
 
@@ -162,7 +162,7 @@
         same document again does no harm.
     """
     command = PublishCommand(version=version, body=zlib.compress(body), time_ms=wall_clock_ms())
-    deadline = anyio.current_time() + PUBLISH_SECONDS
+    deadline = anyio.current_time() + PUBLISH_TIMEOUT_SECONDS
     while anyio.current_time() < deadline:
         if state.node.replica.is_leader:
             outcome = await submit(state.node, command)
@@ -171,14 +171,14 @@
                 assert isinstance(result, PublishResult)
                 return Success(result)
         else:
-            passed = await _pass_on(state, command, deadline)
+            passed = await _forward_to_leader(state, command, deadline)
             if passed is not None:
                 return Success(passed)
         await anyio.sleep(LEADER_POLL_SECONDS)
     return Failure(Problem(code=ResultCode.NO_QUORUM, detail="not confirmed", retry_after=0.5))
 
 
-async def _pass_on(
+async def _forward_to_leader(
     state: RegistryState, command: PublishCommand, deadline: float
 ) -> PublishResult | None:
     """Have the leader commit a publication.
@@ -208,7 +208,7 @@
     return reply.result
 
 
-async def answer_command(state: RegistryState, link: Link, request: CommandRequest) -> None:
+async def handle_command_request(state: RegistryState, link: Link, request: CommandRequest) -> None:
     """Commit a publication that another control box passed on."""
     if not isinstance(request.command, PublishCommand):
         logger.warning("command refused", extra={"peer": link.peer_box})
@@ -222,7 +222,7 @@
         link.post(CommandReply(call=request.call, result=None, code=code))
 
 
-def take_command_reply(state: RegistryState, reply: CommandReply) -> None:
+def handle_command_reply(state: RegistryState, reply: CommandReply) -> None:
     """Wake whoever waits for a command that was passed on."""
     waiter = state.waiters.get(reply.call)
     if waiter is not None:
--- a/src/ledgeladder/daemons/registry/telling.py
+++ b/src/ledgeladder/daemons/registry/telling.py
@@ -31,7 +31,7 @@
 from ...storage import box_of
 from ..peers import add_peers
 from .lending import follow_votes
-from .load_sums import drop_old_reports, known_entries, own_loads, sum_loads
+from .load_totals import count_entries, drop_expired_reports, local_loads, sum_loads
 
 if TYPE_CHECKING:
     from ...coordination.upstream_order import UpstreamIndex
@@ -186,13 +186,13 @@
     while True:
         told_bytes = LOAD_BYTES * len(state.upstream_index.instances)
         controls = len(state.peers.known) + 1
-        await anyio.sleep(load_interval(known_entries(state), controls, told_bytes))
+        await anyio.sleep(load_interval(count_entries(state), controls, told_bytes))
         now = anyio.current_time()
-        drop_old_reports(state, now)
+        drop_expired_reports(state, now)
         if not state.loads:
             continue
         order = _renew_order(state)
-        own = pack_loads(order, own_loads(state, now))
+        own = pack_loads(order, local_loads(state, now))
         sums = pack_loads(order, sum_loads(state, now))
         if not is_report_due((own, sums) != told, now - told_at):
             continue
--- a/tests/daemons/registry/test_newest.py
+++ b/tests/daemons/registry/test_published_version.py
@@ -13,13 +13,13 @@
 import pytest
 
 from ledgeladder.coordination.commands import PublishResult
-from ledgeladder.daemons.registry import newest
-from ledgeladder.daemons.registry.newest import (
-    answer_open_questions,
-    answer_version,
-    keep_asking,
+from ledgeladder.daemons.registry import published_version
+from ledgeladder.daemons.registry.published_version import (
+    answer_pending_queries,
+    handle_command_reply,
+    handle_version_query,
+    poll_leader,
     publish,
-    take_command_reply,
 )
 from ledgeladder.links.messages import CommandReply, VersionQuery, VersionReply
 
@@ -49,8 +49,8 @@
 def knowledge(monkeypatch: pytest.MonkeyPatch) -> dict[str, float | None]:
     """What the registry knows: the age of its knowledge, or None."""
     held: dict[str, float | None] = {"age": None}
-    monkeypatch.setattr(newest, "current_knowledge", lambda _state: held["age"])
-    monkeypatch.setattr(newest, "known_entries", lambda _state: 1)
+    monkeypatch.setattr(published_version, "version_age", lambda _state: held["age"])
+    monkeypatch.setattr(published_version, "count_entries", lambda _state: 1)
     return held
 
 
@@ -64,12 +64,12 @@
     link = Recorder()
     state = registry(link)
     for call in (7, 8):
-        answer_version(state, link, VersionQuery(call=call))
+        handle_version_query(state, link, VersionQuery(call=call))
     assert link.posted == [reply(7, None), reply(8, None)]
     knowledge["age"] = 0.0
-    answer_open_questions(state)
+    answer_pending_queries(state)
     assert link.posted[2:] == [reply(8, 0.0)]
-    answer_open_questions(state)
+    answer_pending_queries(state)
     assert len(link.posted) == 3
 
 
@@ -78,12 +78,12 @@
 ) -> None:
     link = Recorder(role="control")
     state = registry(link)
-    answer_version(state, link, VersionQuery(call=1))
+    handle_version_query(state, link, VersionQuery(call=1))
     assert not state.pending_queries
     link = Recorder()
-    answer_version(state, link, VersionQuery(call=2))
+    handle_version_query(state, link, VersionQuery(call=2))
     knowledge["age"] = 0.0
-    answer_open_questions(state)
+    answer_pending_queries(state)
     assert len(link.posted) == 1
 
 
@@ -94,18 +94,22 @@
 
     async def sleep(seconds: float) -> None:
         pauses.append(seconds)
-        knowledge["age"] = {1: newest.UNSURE_SECONDS + 1.0, 2: 0.0}.get(len(pauses))
+        knowledge["age"] = {1: published_version.STALE_AFTER_SECONDS + 1.0, 2: 0.0}.get(len(pauses))
         if len(pauses) == 3:
             raise TimeoutError
 
-    monkeypatch.setattr(newest.anyio, "sleep", sleep)
+    monkeypatch.setattr(published_version.anyio, "sleep", sleep)
 
     async def run() -> None:
         with pytest.raises(TimeoutError):
-            await keep_asking(registry(Recorder()))
+            await poll_leader(registry(Recorder()))
 
     anyio.run(run)
-    assert pauses == [newest.ASK_UNSURE_SECONDS, newest.ASK_UNSURE_SECONDS, newest.ASK_SECONDS]
+    assert pauses == [
+        published_version.STALE_POLL_SECONDS,
+        published_version.STALE_POLL_SECONDS,
+        published_version.VERSION_POLL_SECONDS,
+    ]
 
 
 def test_publication_goes_to_the_next_leader_as_soon_as_there_is_one() -> None:
@@ -120,7 +124,7 @@
         def post(self, message: Any) -> None:
             super().post(message)
             result = PublishResult(version=5, in_force=True)
-            take_command_reply(state, CommandReply(call=message.call, result=result))
+            handle_command_reply(state, CommandReply(call=message.call, result=result))
 
     lost, following = Recorder(), NextLeader()
     state = registry(Recorder())
@@ -138,7 +142,7 @@
     async def run() -> Any:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(elect)
-            with anyio.fail_after(newest.PUBLISH_SECONDS / 2):
+            with anyio.fail_after(published_version.PUBLISH_TIMEOUT_SECONDS / 2):
                 return await publish(state, 5, b"{}")
 
     assert anyio.run(run).unwrap().version == 5
--- a/tests/daemons/test_clock.py
+++ b/tests/daemons/test_clock.py
@@ -13,7 +13,7 @@
 from ledgeladder.daemons import clock
 from ledgeladder.daemons.gateway.state import check_freshness
 from ledgeladder.daemons.launch import LOOP_OPTIONS
-from ledgeladder.daemons.registry.newest import current_knowledge, leader_is_sure
+from ledgeladder.daemons.registry.published_version import is_up_to_date_leader, version_age
 from ledgeladder.model.traffic import CallerLimits, TrafficConfiguration
 
 from .gateway.builders import gateway_state
@@ -98,12 +98,12 @@
     )
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(raft, "holds_lease", holds_lease)
-        assert leader_is_sure(state)
+        assert is_up_to_date_leader(state)
         machine.suspend()
-        assert not leader_is_sure(state)
+        assert not is_up_to_date_leader(state)
 
         async def play() -> float | None:
-            return current_knowledge(state)
+            return version_age(state)
 
         age = anyio.run(play, backend_options=LOOP_OPTIONS)
     assert age is not None
