--- a/src/ledgeladder/daemons/registry/telling.py
+++ b/src/ledgeladder/daemons/registry/broadcasts.py
@@ -40,23 +40,23 @@
 
 logger = logging.getLogger(__name__)
 
-AGES_SECONDS: Final = 1.0
+AGES_INTERVAL_SECONDS: Final = 1.0
 """How often other boxes are told when each upstream was last heard, about one heartbeat."""
 
-AGES_BYTES_PER_SECOND: Final = 2000.0
+MAX_AGES_BYTES_PER_SECOND: Final = 2000.0
 """Bytes of ages on one link of an entry box a second at most: an eighth of what control may take,
 on each of three links. 3,000 upstreams are told every 3 s by each of three control boxes."""
 
-HINT_SECONDS: Final = 5.0
+HINT_INTERVAL_SECONDS: Final = 5.0
 """How often entry boxes are told who serves control while that does not change. One that has just
 connected is told at once."""
 
-NEWS_SECONDS: Final = 0.05
+MIN_UPDATE_INTERVAL_SECONDS: Final = 0.05
 """Least time between two frames of news. Upstreams that register together are told together, since
 each frame goes over every link. Those that leave are told in time to get nothing new: they serve on
 for seconds."""
 
-FORGET_SECONDS: Final = 12.0
+UPSTREAM_EXPIRY_SECONDS: Final = 12.0
 """An upstream that nobody heard for this long, ten heartbeats, is dropped."""
 
 
@@ -76,7 +76,9 @@
     )
 
 
-def tell_registration(state: RegistryState, registration: Registration, *, to_peers: bool) -> None:
+def broadcast_registration(
+    state: RegistryState, registration: Registration, *, to_peers: bool
+) -> None:
     """Tell others what an upstream has just said: at once, or with what comes right after it.
 
     Args:
@@ -86,13 +88,13 @@
     """
     now = anyio.current_time()
     state.pending_updates.add(registration, now, to_peers=to_peers)
-    if now - state.pending_updates.sent_at >= NEWS_SECONDS:
-        _tell_news(state, now)
+    if now - state.pending_updates.sent_at >= MIN_UPDATE_INTERVAL_SECONDS:
+        _send_pending_updates(state, now)
     else:
         state.pending_updates.wake.set()
 
 
-def _tell_news(state: RegistryState, now: float) -> None:
+def _send_pending_updates(state: RegistryState, now: float) -> None:
     news = state.pending_updates
     told, to_peers = news.pop_all(now)
     if told:
@@ -101,18 +103,21 @@
         post_to_all(state.peers.links.values(), RegistrationNews(told=to_peers))
 
 
-async def tell_news(state: RegistryState) -> None:
+async def broadcast_updates(state: RegistryState) -> None:
     """Tell what upstreams said too soon after the news before it, for ever."""
     while True:
         await state.pending_updates.wake.wait()
         state.pending_updates.wake = anyio.Event()
         await anyio.sleep(
-            max(0.0, state.pending_updates.sent_at + NEWS_SECONDS - anyio.current_time())
+            max(
+                0.0,
+                state.pending_updates.sent_at + MIN_UPDATE_INTERVAL_SECONDS - anyio.current_time(),
+            )
         )
-        _tell_news(state, anyio.current_time())
+        _send_pending_updates(state, anyio.current_time())
 
 
-def _renew_order(state: RegistryState) -> UpstreamIndex:
+def _update_index(state: RegistryState) -> UpstreamIndex:
     """Bring the own order up to date, and tell all who are told figures what changed in it."""
     change = diff_index(state.upstream_index, state.table.known)
     if change is not None:
@@ -128,22 +133,23 @@
     return tuple(sorted(members | set(state.peers.links) | {state.peers.own_address}))
 
 
-async def tell_ages(state: RegistryState) -> None:
+async def broadcast_ages(state: RegistryState) -> None:
     """Tell others when upstreams were last heard and who serves control, for ever."""
     hinted: PeerHint | None = None
     hinted_at = 0.0
     entries_told_at = float("-inf")
     while True:
-        await anyio.sleep(AGES_SECONDS)
+        await anyio.sleep(AGES_INTERVAL_SECONDS)
         now = anyio.current_time()
-        for instance in drop_inactive(state.table, now, FORGET_SECONDS):
+        for instance in drop_inactive(state.table, now, UPSTREAM_EXPIRY_SECONDS):
             logger.warning(
-                "upstream not heard", extra={"upstream": instance, "seconds": FORGET_SECONDS}
+                "upstream not heard",
+                extra={"upstream": instance, "seconds": UPSTREAM_EXPIRY_SECONDS},
             )
         retain_engines(state.losses, set(state.table.known))
         add_peers(state.peers, _known_controls(state))
         follow_votes(state)
-        order = _renew_order(state)
+        order = _update_index(state)
         told = RegistrationAges(
             order=order.number, ages=pack_ages(order, heartbeat_ages(state.table, now))
         )
@@ -151,10 +157,10 @@
         if now - entries_told_at >= _ages_interval(len(order.instances)):
             post_to_all(state.entry_links.values(), told)
             entries_told_at = now
-        hint = hint_of(state)
+        hint = build_peer_hint(state)
         # Other control boxes may hear nothing else on the links that they opened.
         post_to_all(state.accepted_control_links.values(), hint)
-        if hint != hinted or now - hinted_at >= HINT_SECONDS:
+        if hint != hinted or now - hinted_at >= HINT_INTERVAL_SECONDS:
             post_to_all(state.entry_links.values(), hint)
             hinted, hinted_at = hint, now
 
@@ -164,10 +170,10 @@
 
     A tenth less than it takes, so that a round that begins late is not left out.
     """
-    return 0.9 * max(AGES_SECONDS, upstreams * AGE_BYTES / AGES_BYTES_PER_SECOND)
+    return 0.9 * max(AGES_INTERVAL_SECONDS, upstreams * AGE_BYTES / MAX_AGES_BYTES_PER_SECOND)
 
 
-def hint_of(state: RegistryState) -> PeerHint:
+def build_peer_hint(state: RegistryState) -> PeerHint:
     """Return the control boxes that are known, with their failure domains."""
     domains = {state.peers.own_address: state.peers.identity.failure_domain}
     for link in state.accepted_control_links.values():
@@ -176,7 +182,7 @@
     return PeerHint(addresses=_known_controls(state), domains=domains)
 
 
-async def tell_loads(state: RegistryState) -> None:
+async def broadcast_loads(state: RegistryState) -> None:
     """Tell entry boxes what the requests of all of them take on each upstream, for ever.
 
     The other control boxes are told the share of those that report here.
@@ -191,7 +197,7 @@
         drop_expired_reports(state, now)
         if not state.loads:
             continue
-        order = _renew_order(state)
+        order = _update_index(state)
         own = pack_loads(order, local_loads(state, now))
         sums = pack_loads(order, sum_loads(state, now))
         if not is_report_due((own, sums) != told, now - told_at):
--- a/src/ledgeladder/daemons/registry/http_api.py
+++ b/src/ledgeladder/daemons/registry/http_api.py
@@ -25,8 +25,8 @@
     read_control_call,
 )
 from ..plain_problems import write_problem
+from .broadcasts import broadcast_registration
 from .published_version import publish, wait_until_fresh
-from .telling import tell_registration
 
 if TYPE_CHECKING:
     from ...http1 import Exchange, HttpRequest
@@ -88,7 +88,7 @@
         return
     registration = resolve_instance(state.table, registration)
     if apply_registration(state.table, registration, anyio.current_time()):
-        tell_registration(state, registration, to_peers=True)
+        broadcast_registration(state, registration, to_peers=True)
         if registration.state is not UpstreamState.READY or registration.sequence <= 1:
             logger.info(
                 "upstream registered",
--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -30,6 +30,7 @@
 from ..reloading import SeedList, reload_seeds
 from ..signals import on_stop_signal
 from ..supervisor import Child, Restart, supervise
+from .broadcasts import broadcast_ages, broadcast_loads, broadcast_updates, push_document
 from .http_api import build_site
 from .lending import build_lender
 from .mesh import send_to_member, serve_accepted, serve_peer
@@ -37,7 +38,6 @@
 from .placing import run_placing
 from .published_version import poll_leader
 from .state import RegistryState, quarantine_controller_of, rate_granter_of
-from .telling import push_document, tell_ages, tell_loads, tell_news
 from .upstream_ends import build_judge
 
 if TYPE_CHECKING:
@@ -227,9 +227,9 @@
             f"{settings.box.address}:{settings.cluster.metrics_port}",
             lambda: metrics_lines(state, counters),
         ),
-        Child(name="ages", run=lambda: tell_ages(state), restart=Restart.ALWAYS),
-        Child(name="news", run=lambda: tell_news(state), restart=Restart.ALWAYS),
-        Child(name="loads", run=lambda: tell_loads(state), restart=Restart.ALWAYS),
+        Child(name="ages", run=lambda: broadcast_ages(state), restart=Restart.ALWAYS),
+        Child(name="news", run=lambda: broadcast_updates(state), restart=Restart.ALWAYS),
+        Child(name="loads", run=lambda: broadcast_loads(state), restart=Restart.ALWAYS),
         Child(name="newest", run=lambda: poll_leader(state), restart=Restart.ALWAYS),
         Child(name="publishing", run=lambda: keep_publishing(state), restart=Restart.ALWAYS),
         Child(
--- a/src/ledgeladder/daemons/registry/mesh.py
+++ b/src/ledgeladder/daemons/registry/mesh.py
@@ -1,6 +1,6 @@
 """Links of a registry process: the other control boxes, and the entry boxes that follow it.
 
-What is told on them again and again is in `telling`.
+What is told on them again and again is in `broadcasts`.
 """
 
 from __future__ import annotations
@@ -51,6 +51,7 @@
 from ..content_judge import quarantine_news, take_crash_report, take_served
 from ..peers import SILENCE_SECONDS, add_peers
 from ..rate_lender import answer_grants, limit_news, take_limits
+from .broadcasts import broadcast_registration, build_peer_hint
 from .lending import answer_loan
 from .published_version import (
     handle_command_reply,
@@ -59,7 +60,6 @@
     handle_version_reply,
 )
 from .state import ReportedLoad, ReportedShare, quarantine_controller_of, rate_granter_of
-from .telling import hint_of, tell_registration
 
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
@@ -95,7 +95,7 @@
     """
     link.post(RegistrationNews(told=list_liveness(state.table, anyio.current_time())))
     link.post(OrderOfUpstreams(order=state.upstream_index))
-    link.post(hint_of(state))
+    link.post(build_peer_hint(state))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_ask_to_join, state, link)
         while True:
@@ -140,7 +140,7 @@
         link.post(OrderOfUpstreams(order=state.upstream_index))
         link.post(quarantine_news(quarantine_controller_of(state)))
         link.post(limit_news(rate_granter_of(state)))
-    link.post(hint_of(state))
+    link.post(build_peer_hint(state))
     async with anyio.create_task_group() as tasks:
         try:
             while True:
@@ -169,7 +169,7 @@
             tasks.start_soon(handle_command_request, state, link, message)
         case RegistrationNews() if is_control:
             for registration in merge_liveness(state.table, message.told, anyio.current_time()):
-                tell_registration(state, registration, to_peers=False)
+                broadcast_registration(state, registration, to_peers=False)
         case OrderOfUpstreams() if is_control:
             state.peer_indexes[id(link)] = message.order
         case ChangedOrder() if is_control:
--- a/tests/daemons/registry/test_telling.py
+++ b/tests/daemons/registry/test_broadcasts.py
@@ -13,7 +13,7 @@
 from ledgeladder.coordination.registrations import RegistrationTable
 from ledgeladder.coordination.upstream_order import UpstreamIndex
 from ledgeladder.daemons.peers import SILENCE_SECONDS
-from ledgeladder.daemons.registry import telling
+from ledgeladder.daemons.registry import broadcasts
 from ledgeladder.daemons.registry.state import PendingUpdates
 from ledgeladder.links.frames import FRAME_LIMIT, FrameBuffer
 from ledgeladder.links.messages import (
@@ -63,29 +63,29 @@
         voter_since=None,
     )
     hint = PeerHint(addresses=("10.0.0.1", "10.0.0.2"))
-    monkeypatch.setattr(telling, "hint_of", lambda _state: hint)
-    monkeypatch.setattr(telling, "_known_controls", lambda _state: hint.addresses)
-    monkeypatch.setattr(telling, "add_peers", lambda *_: None)
-    monkeypatch.setattr(telling.anyio, "current_time", lambda: clock[0])
+    monkeypatch.setattr(broadcasts, "build_peer_hint", lambda _state: hint)
+    monkeypatch.setattr(broadcasts, "_known_controls", lambda _state: hint.addresses)
+    monkeypatch.setattr(broadcasts, "add_peers", lambda *_: None)
+    monkeypatch.setattr(broadcasts.anyio, "current_time", lambda: clock[0])
 
     async def sleep(seconds: float) -> None:
         clock[0] += seconds
-        if clock[0] > ROUNDS * telling.AGES_SECONDS:
+        if clock[0] > ROUNDS * broadcasts.AGES_INTERVAL_SECONDS:
             raise TimeoutError
 
-    monkeypatch.setattr(telling.anyio, "sleep", sleep)
+    monkeypatch.setattr(broadcasts.anyio, "sleep", sleep)
 
     async def run() -> None:
         with pytest.raises(TimeoutError):
-            await telling.tell_ages(state)
+            await broadcasts.broadcast_ages(state)
 
     anyio.run(run)
-    end = ROUNDS * telling.AGES_SECONDS
+    end = ROUNDS * broadcasts.AGES_INTERVAL_SECONDS
     assert longest_pause(opened.times(RegistrationAges), end) < SILENCE_SECONDS / 2
     assert longest_pause(accepted.times(PeerHint), end) < SILENCE_SECONDS / 2
     assert longest_pause(entry.times(RegistrationAges), end) < SILENCE_SECONDS / 2
     assert len(entry.times(PeerHint)) == 1 + int(
-        (end - telling.AGES_SECONDS) / telling.HINT_SECONDS
+        (end - broadcasts.AGES_INTERVAL_SECONDS) / broadcasts.HINT_INTERVAL_SECONDS
     )
 
 
@@ -99,11 +99,11 @@
         entry_links=dict(links),
         loads={},
     )
-    telling.push_document(state)
+    broadcasts.push_document(state)
     assert all(len(link.times(DocumentPush)) == 1 for link in links.values())
     # One of those that report has lost its link since.
     state.loads = {2: None, 9: None}
-    telling.push_document(state)
+    broadcasts.push_document(state)
     assert [len(link.times(DocumentPush)) for link in links.values()] == [1, 2, 1]
 
 
@@ -139,7 +139,7 @@
         peers=SimpleNamespace(links={"10.0.0.2": peer}),
         entry_links={1: entry},
     )
-    monkeypatch.setattr(telling.anyio, "current_time", lambda: clock[0])
+    monkeypatch.setattr(broadcasts.anyio, "current_time", lambda: clock[0])
 
     async def sleep(seconds: float) -> None:
         until = clock[0] + seconds
@@ -148,27 +148,29 @@
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(telling.tell_news, state)
+            tasks.start_soon(broadcasts.broadcast_updates, state)
             await anyio.lowlevel.checkpoint()
             for number in range(UPSTREAMS):
                 clock[0] = max(clock[0], number * REGISTER_SECONDS / UPSTREAMS)
                 state.table.known[registration(number).instance] = None
-                telling.tell_registration(state, registration(number), to_peers=number % 5 == 0)
+                broadcasts.broadcast_registration(
+                    state, registration(number), to_peers=number % 5 == 0
+                )
                 await anyio.lowlevel.checkpoint()
                 if number % 300 == 0:
-                    telling._renew_order(state)
-            clock[0] += telling.NEWS_SECONDS
+                    broadcasts._update_index(state)
+            clock[0] += broadcasts.MIN_UPDATE_INTERVAL_SECONDS
             for _ in range(5):
                 await anyio.lowlevel.checkpoint()
-            telling._renew_order(state)
+            broadcasts._update_index(state)
             tasks.cancel_scope.cancel()
 
-    monkeypatch.setattr(telling.anyio, "sleep", sleep)
+    monkeypatch.setattr(broadcasts.anyio, "sleep", sleep)
     anyio.run(run)
     frames = [message for _at, message in entry.posted if isinstance(message, RegistrationNews)]
     told = [item.registration.instance for frame in frames for item in frame.told]
     assert told == [registration(number).instance for number in range(UPSTREAMS)]
-    assert len(frames) <= 2 * REGISTER_SECONDS / telling.NEWS_SECONDS
+    assert len(frames) <= 2 * REGISTER_SECONDS / broadcasts.MIN_UPDATE_INTERVAL_SECONDS
     to_peer = [message for _at, message in peer.posted if isinstance(message, RegistrationNews)]
     assert sum(len(frame.told) for frame in to_peer) == UPSTREAMS / 5
     # Whole orders would be 11 times the half of all ids, 200 KB a link.
