--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -35,7 +35,7 @@
 from .lending import build_lender
 from .mesh import send_to_member, serve_accepted, serve_peer
 from .metrics import metrics_lines
-from .placing import run_placing
+from .placement import run_placement
 from .published_version import poll_leader
 from .state import RegistryState, quarantine_controller_of, rate_granter_of
 from .upstream_ends import build_judge
@@ -242,7 +242,7 @@
             run=lambda: keep_telling_limits(rate_granter_of(state)),
             restart=Restart.ALWAYS,
         ),
-        Child(name="placing", run=lambda: run_placing(state), restart=Restart.ALWAYS),
+        Child(name="placing", run=lambda: run_placement(state), restart=Restart.ALWAYS),
     ]
     async with anyio.create_task_group() as tasks:
 
--- a/src/ledgeladder/daemons/registry/placing.py
+++ b/src/ledgeladder/daemons/registry/placement.py
@@ -40,59 +40,59 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_SECONDS: Final = 0.2
+PLACEMENT_POLL_SECONDS: Final = 0.2
 """How often the leader looks for engines without layers."""
 
-NEWCOMER_SECONDS: Final = 1.2
+NEW_ENGINE_DEFER_SECONDS: Final = 1.2
 """How long an engine that comes while the system serves waits for its layers. Where engines are
 replaced one after the other, the old one announces its end a second after the new one came, and the
 new one then takes over its layers."""
 
-ORDERS_AT_ONCE: Final = 64
+MAX_CONCURRENT_ORDERS: Final = 64
 """Orders that are under way at once. Each takes two connections; thousands together would take the
 descriptors of the process and let calls time out that wait for its processor."""
 
-REPAIR_SECONDS: Final = 0.6
+REPAIR_INTERVAL_SECONDS: Final = 0.6
 """Time between two looks for gaps: losses come together, and the reports of several entry boxes
 come within half a second. A look over 99 engines that finds one takes some milliseconds."""
 
 
-async def run_placing(state: RegistryState) -> None:
+async def run_placement(state: RegistryState) -> None:
     """Order layers for engines that have none, and move some where layers were lost, for ever.
 
     A box that does not lead forgets its own orders. A new leader plans from what engines report and
     from the orders that the last one told it.
     """
-    gatherings: dict[str, InitialDiscovery] = {}
+    discoveries: dict[str, InitialDiscovery] = {}
     heartbeat = state.settings.bounds.heartbeat_ms / 1000.0
     while True:
-        await anyio.sleep(LOOK_SECONDS)
+        await anyio.sleep(PLACEMENT_POLL_SECONDS)
         if not may_order(state) or state.configuration is None:
             step_down(state.ledger, anyio.current_time())
             continue
         resume_reported_orders(state.ledger)
         pools = [pool for pool in state.configuration.pools.values() if pool.engine is not None]
-        engines = {pool.name: _engines(state, pool) for pool in pools}
+        engines = {pool.name: _pool_engines(state, pool) for pool in pools}
         pools = [_with_slots(pool, engines[pool.name]) for pool in pools]
-        _settle(state, [item for members in engines.values() for item in members])
-        limiter = anyio.CapacityLimiter(ORDERS_AT_ONCE)
+        _confirm_orders(state, [item for members in engines.values() for item in members])
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_ORDERS)
         async with anyio.create_task_group() as tasks:
             for pool in pools:
                 members = engines[pool.name]
-                gathering = gatherings.setdefault(pool.name, InitialDiscovery(heartbeat=heartbeat))
-                if not _is_gathered(gathering, pool, members):
+                discovery = discoveries.setdefault(pool.name, InitialDiscovery(heartbeat=heartbeat))
+                if not _is_discovered(discovery, pool, members):
                     continue
                 empty = [item for item in members if not item.holdings]
-                orders = await _plan(state, pool, members) if empty else []
-                orders = _as_many_as_load_well(state, pool, members, orders)
-                orders = orders or _repair(state, pool, members)
-                _note_sent(state, pool, members, orders)
+                orders = await _plan_orders(state, pool, members) if empty else []
+                orders = _limit_concurrent_loads(state, pool, members, orders)
+                orders = orders or _plan_moves(state, pool, members)
+                _record_sent(state, pool, members, orders)
                 for engine, holding in orders:
-                    tasks.start_soon(_order_in_turn, limiter, state, engine, holding)
+                    tasks.start_soon(_order_with_limit, limiter, state, engine, holding)
 
 
-def _is_gathered(
-    gathering: InitialDiscovery, pool: UpstreamPool, engines: list[Registration]
+def _is_discovered(
+    discovery: InitialDiscovery, pool: UpstreamPool, engines: list[Registration]
 ) -> bool:
     """Tell whether enough engines of a pool have come to plan over them."""
     assert pool.engine is not None
@@ -100,7 +100,7 @@
     serves = any(item.holdings for item in engines)
     # Engines that serve are enough. Adding up all of them in each look is work for the start only.
     is_enough = serves or profile.layers <= sum(max_layers(profile, item.card) for item in engines)
-    return gathering.is_complete(
+    return discovery.is_complete(
         len(engines), anyio.current_time(), is_serving=serves, can_hold_model=is_enough
     )
 
@@ -112,14 +112,14 @@
     return msgspec.structs.replace(pool, engine=msgspec.structs.replace(pool.engine, slots=slots))
 
 
-async def _order_in_turn(
+async def _order_with_limit(
     limiter: anyio.CapacityLimiter, state: RegistryState, engine: Registration, holding: Holding
 ) -> None:
     async with limiter:
         await order_layers(state, engine, holding)
 
 
-def _as_many_as_load_well(
+def _limit_concurrent_loads(
     state: RegistryState,
     pool: UpstreamPool,
     engines: list[Registration],
@@ -153,7 +153,7 @@
     return orders[: max(0, pool.engine.loads_at_once - open_loads)]
 
 
-def _note_sent(
+def _record_sent(
     state: RegistryState,
     pool: UpstreamPool,
     engines: list[Registration],
@@ -177,7 +177,7 @@
     return sum(layer not in held for layer in range(holding.first, holding.end))
 
 
-def _engines(state: RegistryState, pool: UpstreamPool) -> list[Registration]:
+def _pool_engines(state: RegistryState, pool: UpstreamPool) -> list[Registration]:
     """Return the engines of a pool; one whose address a newer run has taken counts as leaving."""
     old = superseded_instances(state.table)
     return [
@@ -191,33 +191,33 @@
     ]
 
 
-def _settle(state: RegistryState, engines: list[Registration]) -> None:
+def _confirm_orders(state: RegistryState, engines: list[Registration]) -> None:
     reported = {item.instance: item.holdings for item in engines}
     for instance in reconcile(state.ledger, reported, anyio.current_time()):
         logger.info("engine holds its layers", extra={"upstream": instance})
 
 
-def _placed(state: RegistryState, engines: list[Registration]) -> list[PlacedEngine]:
+def _to_placed_engines(state: RegistryState, engines: list[Registration]) -> list[PlacedEngine]:
     return [
         PlacedEngine(
             instance=item.instance,
             failure_domain=item.failure_domain,
             card=item.card,
-            holding=_holding(state, item),
+            holding=_effective_holding(state, item),
             is_loaded=item.instance not in state.ledger.sent,
         )
         for item in engines
     ]
 
 
-async def _plan(
+async def _plan_orders(
     state: RegistryState, pool: UpstreamPool, engines: list[Registration]
 ) -> list[tuple[Registration, Holding]]:
     """Return the engines without layers that are to be ordered now, with their layers.
 
     Also those whose order was not answered, or not carried out in time.
     """
-    chosen = await _plan_newcomers(state, pool, engines)
+    chosen = await _plan_new_engines(state, pool, engines)
     now = anyio.current_time()
     by_instance = {item.instance: item for item in engines}
     # In the order of the plan, so that what is needed most is loaded first.
@@ -233,7 +233,7 @@
     ]
 
 
-async def _plan_newcomers(
+async def _plan_new_engines(
     state: RegistryState, pool: UpstreamPool, engines: list[Registration]
 ) -> dict[str, Holding]:
     """Choose layers for the engines that have none and were ordered none.
@@ -243,12 +243,14 @@
     """
     assert pool.engine is not None
     ready = [item for item in engines if item.state is UpstreamState.READY]
-    waiting = _waiting_newcomers(state, engines)
-    newcomers = [item for item in ready if _is_newcomer(state, item)]
-    if all(item.instance in waiting for item in newcomers):
+    waiting = _deferred_new_engines(state, engines)
+    new_engines = [item for item in ready if _is_new_engine(state, item)]
+    if all(item.instance in waiting for item in new_engines):
         return {}
-    placed = _placed(state, [item for item in ready if item.instance not in waiting])
-    leaving = _placed(state, [item for item in engines if item.state is UpstreamState.LEAVING])
+    placed = _to_placed_engines(state, [item for item in ready if item.instance not in waiting])
+    leaving = _to_placed_engines(
+        state, [item for item in engines if item.state is UpstreamState.LEAVING]
+    )
     chosen: dict[str, Holding] = {}
     shapes: PlanCache = {}
     for group in group_engines(pool.engine, placed):
@@ -274,12 +276,12 @@
         )
 
 
-def _is_newcomer(state: RegistryState, engine: Registration) -> bool:
+def _is_new_engine(state: RegistryState, engine: Registration) -> bool:
     """Tell whether an engine holds no layers and was ordered none."""
     return not engine.holdings and engine.instance not in state.ledger.sent
 
 
-def _waiting_newcomers(state: RegistryState, engines: list[Registration]) -> set[str]:
+def _deferred_new_engines(state: RegistryState, engines: list[Registration]) -> set[str]:
     """Return the engines that have just come and wait for the end of another to be told.
 
     One waits for a moment while the pool serves, unless an engine of its kind in its failure domain
@@ -294,14 +296,14 @@
     return {
         item.instance
         for item in engines
-        if _is_newcomer(state, item)
+        if _is_new_engine(state, item)
         and (item.card, item.failure_domain) not in leaving
         and (known := state.table.known.get(item.instance)) is not None
-        and now - known.first_seen_at < NEWCOMER_SECONDS
+        and now - known.first_seen_at < NEW_ENGINE_DEFER_SECONDS
     }
 
 
-def _repair(
+def _plan_moves(
     state: RegistryState, pool: UpstreamPool, engines: list[Registration]
 ) -> list[tuple[Registration, Holding]]:
     """Return the engines that are to be moved to layers that are lacking, with these layers.
@@ -310,7 +312,7 @@
     """
     assert pool.engine is not None
     now = anyio.current_time()
-    if now - state.ledger.repaired_at < REPAIR_SECONDS:
+    if now - state.ledger.repaired_at < REPAIR_INTERVAL_SECONDS:
         return []
     until = controls_last_seen(state)
     up = {item.instance: item for item in engines if _is_up(state, item, now, until)}
@@ -319,7 +321,7 @@
         for instance, order in state.ledger.sent.items()
         if instance in up and is_due(state.ledger, instance, now)
     ]
-    moves = plan_repairs(pool.engine, _placed(state, list(up.values())))
+    moves = plan_repairs(pool.engine, _to_placed_engines(state, list(up.values())))
     for spare, holding in moves:
         logger.warning(
             "engine moved",
@@ -356,7 +358,7 @@
     )
 
 
-def _holding(state: RegistryState, engine: Registration) -> Holding | None:
+def _effective_holding(state: RegistryState, engine: Registration) -> Holding | None:
     """Return the layers that an engine was ordered to hold, or else those that it reports."""
     order = state.ledger.sent.get(engine.instance)
     if order is not None:
--- a/tests/coordination/test_gathering.py
+++ b/tests/coordination/test_gathering.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ledgeladder.coordination.gathering import InitialDiscovery
-from ledgeladder.daemons.registry.placing import LOOK_SECONDS
+from ledgeladder.daemons.registry.placement import PLACEMENT_POLL_SECONDS
 
 HEARTBEAT = 1.2
 """Time between two heartbeats of an engine, in seconds."""
@@ -44,7 +44,7 @@
         count = sum(at <= now - began for at in times)
         if discovery.is_complete(count, now, is_serving=serving, can_hold_model=count >= enough):
             return count, now - began
-        now += LOOK_SECONDS
+        now += PLACEMENT_POLL_SECONDS
 
 
 @pytest.mark.parametrize("first_poll", [0.02, 0.06, 0.1, 0.14, 0.18])
@@ -57,7 +57,7 @@
 def test_engines_that_register_together_are_planned_a_heartbeat_later() -> None:
     count, at = planned_with([0.0] * 20, enough=5)
     assert count == 20
-    assert at == pytest.approx(HEARTBEAT, abs=LOOK_SECONDS)
+    assert at == pytest.approx(HEARTBEAT, abs=PLACEMENT_POLL_SECONDS)
 
 
 def test_plan_waits_for_engines_that_hold_the_model_together() -> None:
