--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -33,8 +33,8 @@
 from .broadcasts import broadcast_ages, broadcast_loads, broadcast_updates, push_document
 from .http_api import build_site
 from .lending import build_lender
-from .mesh import send_to_member, serve_accepted, serve_peer
 from .metrics import metrics_lines
+from .peer_links import send_log_message, serve_accepted_link, serve_control_link
 from .placement import run_placement
 from .published_version import poll_leader
 from .state import RegistryState, quarantine_controller_of, rate_granter_of
@@ -81,10 +81,10 @@
     links: list[RegistryState] = []
 
     async def serve(address: str, link: Link) -> None:
-        await serve_peer(links[0], address, link)
+        await serve_control_link(links[0], address, link)
 
     def send(envelope: Envelope) -> None:
-        send_to_member(links[0], envelope)
+        send_log_message(links[0], envelope)
 
     def changed() -> None:
         links[0].published_changed.set()
@@ -207,7 +207,7 @@
     link_address = f"{settings.box.address}:{settings.cluster.link_port}"
 
     async def accepted(link: Link) -> None:
-        await serve_accepted(state, link)
+        await serve_accepted_link(state, link)
 
     children = [
         Child(name="log", run=lambda: run_log(state.node), restart=Restart.NEVER),
--- a/src/ledgeladder/daemons/registry/mesh.py
+++ b/src/ledgeladder/daemons/registry/peer_links.py
@@ -71,21 +71,21 @@
 
 logger = logging.getLogger(__name__)
 
-JOIN_SECONDS: Final = 0.3
+JOIN_INTERVAL_SECONDS: Final = 0.3
 """How often a box that is no member of the log asks to become one."""
 
-LEADER_SILENT_SECONDS: Final = 1.5
+LEADER_INACTIVITY_SECONDS: Final = 1.5
 """A member that heard no leader for this long may have been removed and asks to join again."""
 
 
-def send_to_member(state: RegistryState, envelope: Envelope) -> None:
+def send_log_message(state: RegistryState, envelope: Envelope) -> None:
     """Send a message of the log over the link to its target's box, or drop it."""
     link = state.peers.links.get(box_of(envelope.target))
     if link is not None:
         link.post(LogMessage(envelope=envelope))
 
 
-async def serve_peer(state: RegistryState, address: str, link: Link) -> None:
+async def serve_control_link(state: RegistryState, address: str, link: Link) -> None:
     """Serve the own link to another control box.
 
     Args:
@@ -97,7 +97,7 @@
     link.post(OrderOfUpstreams(order=state.upstream_index))
     link.post(build_peer_hint(state))
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_ask_to_join, state, link)
+        tasks.start_soon(_request_membership, state, link)
         while True:
             with anyio.fail_after(SILENCE_SECONDS):
                 message = await link.receive()
@@ -112,18 +112,18 @@
                     logger.warning("message of the wrong kind", extra={"peer": address})
 
 
-async def _ask_to_join(state: RegistryState, link: Link) -> None:
+async def _request_membership(state: RegistryState, link: Link) -> None:
     """Ask to become a member of the log while this box is none or hears no leader, for ever."""
     replica = state.node.replica
     while True:
-        heard = clock.now() - replica.leader_heard_at < LEADER_SILENT_SECONDS
+        heard = clock.now() - replica.leader_heard_at < LEADER_INACTIVITY_SECONDS
         is_member = replica.member_id in replica.log.members.everyone
         if not replica.is_leader and not (is_member and heard):
             link.post(JoinRequest(member_id=replica.member_id))
-        await anyio.sleep(JOIN_SECONDS)
+        await anyio.sleep(JOIN_INTERVAL_SECONDS)
 
 
-async def serve_accepted(state: RegistryState, link: Link) -> None:
+async def serve_accepted_link(state: RegistryState, link: Link) -> None:
     """Serve a link that another process opened.
 
     Args:
@@ -146,7 +146,7 @@
             while True:
                 with anyio.fail_after(SILENCE_SECONDS):
                     message = await link.receive()
-                _take_in(state, tasks, link, message, is_control=is_control)
+                _handle_message(state, tasks, link, message, is_control=is_control)
         finally:
             state.entry_links.pop(id(link), None)
             state.loads.pop(id(link), None)
@@ -156,7 +156,7 @@
             state.pending_queries.pop(id(link), None)
 
 
-def _take_in(
+def _handle_message(
     state: RegistryState, tasks: TaskGroup, link: Link, message: LinkMessage, *, is_control: bool
 ) -> None:
     """Take in one message; the log, registrations and hints only from control boxes."""
@@ -211,7 +211,7 @@
         case ContentServed():
             take_served(quarantine_controller_of(state), message, to_peers=not is_control)
         case LostReport():
-            _take_lost_report(state, link, message.instance)
+            _handle_lost_report(state, link, message.instance)
         case VersionQuery():
             handle_version_query(state, link, message)
         case DocumentPull():
@@ -227,7 +227,7 @@
     return state.peer_indexes.get(id(link), UpstreamIndex())
 
 
-def _take_lost_report(state: RegistryState, link: Link, instance: str) -> None:
+def _handle_lost_report(state: RegistryState, link: Link, instance: str) -> None:
     """Take in that an entry box found an engine dead, and tell the others once that is sure."""
     known = state.table.known.get(instance)
     if known is None or link.peer is None:
