--- a/src/ledgeladder/daemons/registry/broadcasts.py
+++ b/src/ledgeladder/daemons/registry/broadcasts.py
@@ -30,8 +30,8 @@
 from ...routing.load_sharing import is_report_due, load_interval
 from ...storage import box_of
 from ..peers import add_peers
-from .lending import follow_votes
 from .load_totals import count_entries, drop_expired_reports, local_loads, sum_loads
+from .quota_grants import update_voter_status
 
 if TYPE_CHECKING:
     from ...coordination.upstream_order import UpstreamIndex
@@ -148,7 +148,7 @@
             )
         retain_engines(state.losses, set(state.table.known))
         add_peers(state.peers, _known_controls(state))
-        follow_votes(state)
+        update_voter_status(state)
         order = _update_index(state)
         told = RegistrationAges(
             order=order.number, ages=pack_ages(order, heartbeat_ages(state.table, now))
--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -32,13 +32,13 @@
 from ..supervisor import Child, Restart, supervise
 from .broadcasts import broadcast_ages, broadcast_loads, broadcast_updates, push_document
 from .http_api import build_site
-from .lending import build_lender
 from .metrics import metrics_lines
 from .peer_links import send_log_message, serve_accepted_link, serve_control_link
 from .placement import run_placement
 from .published_version import poll_leader
+from .quota_grants import build_rate_granter
 from .state import RegistryState, quarantine_controller_of, rate_granter_of
-from .upstream_ends import build_judge
+from .upstream_exits import build_quarantine_controller
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -98,8 +98,8 @@
     )
     node = _open(settings, send, changed)
     state = RegistryState(settings=settings, node=node, peers=peers)
-    state.quarantine_controller = build_judge(state)
-    state.rate_granter = build_lender(state)
+    state.quarantine_controller = build_quarantine_controller(state)
+    state.rate_granter = build_rate_granter(state)
     state.table.heartbeat = settings.bounds.heartbeat_ms / 1000.0
     links.append(state)
     take_published(state)
--- a/src/ledgeladder/daemons/registry/peer_links.py
+++ b/src/ledgeladder/daemons/registry/peer_links.py
@@ -52,13 +52,13 @@
 from ..peers import SILENCE_SECONDS, add_peers
 from ..rate_lender import answer_grants, limit_news, take_limits
 from .broadcasts import broadcast_registration, build_peer_hint
-from .lending import answer_loan
 from .published_version import (
     handle_command_reply,
     handle_command_request,
     handle_version_query,
     handle_version_reply,
 )
+from .quota_grants import handle_quota_request
 from .state import ReportedLoad, ReportedShare, quarantine_controller_of, rate_granter_of
 
 if TYPE_CHECKING:
@@ -201,7 +201,7 @@
                 anyio.current_time(),
             )
         case LoanRequest():
-            answer_loan(state, link, message)
+            handle_quota_request(state, link, message)
         case RateLimitNews():
             take_limits(rate_granter_of(state), message.limits, to_peers=not is_control)
         case GrantRequest():
--- a/src/ledgeladder/daemons/registry/lending.py
+++ b/src/ledgeladder/daemons/registry/quota_grants.py
@@ -23,7 +23,7 @@
 logger = logging.getLogger(__name__)
 
 
-def follow_votes(state: RegistryState) -> None:
+def update_voter_status(state: RegistryState) -> None:
     """Note since when this box is a voter; what it lent under an earlier vote is forgotten."""
     is_voter = state.node.replica.is_voter
     if is_voter and state.voter_since is None:
@@ -33,33 +33,33 @@
         state.voter_since = None
 
 
-def may_lend(state: RegistryState) -> bool:
+def may_grant(state: RegistryState) -> bool:
     """Tell whether this box is a voter and has heard so lately."""
     age = version_age(state) if state.voter_since is not None else None
     return age is not None and age <= LEADER_CONTACT_SECONDS
 
 
-def lending_voters(state: RegistryState) -> int:
+def count_granting_voters(state: RegistryState) -> int:
     """Return into how many parts what is lent is divided: one for each voter there may be."""
     voters = 2 * state.settings.cluster.tolerated_losses + 1
     return max(voters, len(state.node.replica.log.members.voters))
 
 
-def build_lender(state: RegistryState) -> RateLender:
+def build_rate_granter(state: RegistryState) -> RateLender:
     """Return what lends requests with the links of a registry."""
     return RateLender(
-        parts=lambda: lending_voters(state),
-        may_lend=lambda: may_lend(state),
+        parts=lambda: count_granting_voters(state),
+        may_lend=lambda: may_grant(state),
         tell_entries=lambda message: post_to_all(state.entry_links.values(), message),
         tell_peers=lambda message: post_to_all(state.peers.links.values(), message),
     )
 
 
-def answer_loan(state: RegistryState, link: Link, request: LoanRequest) -> None:
+def handle_quota_request(state: RegistryState, link: Link, request: LoanRequest) -> None:
     """Lend repeats to an entry box out of the part of this voter, or say that there are none."""
     opened_at, count = state.voter_since, 0
-    if opened_at is not None and may_lend(state):
-        book = _book(state, request.pool, opened_at)
+    if opened_at is not None and may_grant(state):
+        book = _quota_ledger(state, request.pool, opened_at)
         count = lend(book, request.count, anyio.current_time())
     if count < request.count:
         logger.info(
@@ -74,14 +74,14 @@
     link.post(LoanReply(call=request.call, count=count))
 
 
-def _book(state: RegistryState, pool: str, opened_at: float) -> LoanBook:
+def _quota_ledger(state: RegistryState, pool: str, opened_at: float) -> LoanBook:
     """Return what was lent for a pool; each voter lends the same part of what may be lent."""
     book = state.quota_ledgers.get(pool)
     if book is None:
         bounds = state.settings.bounds
         lendable = bounds.repeat_reserve * (1.0 - FLOOR_SHARE) * SHARE_USED
         book = state.quota_ledgers[pool] = LoanBook(
-            lendable=lendable / lending_voters(state),
+            lendable=lendable / count_granting_voters(state),
             window=bounds.repeat_window_seconds,
             opened_at=opened_at,
         )
--- a/src/ledgeladder/daemons/registry/upstream_ends.py
+++ b/src/ledgeladder/daemons/registry/upstream_exits.py
@@ -16,17 +16,17 @@
     from .state import RegistryState
 
 
-def build_judge(state: RegistryState) -> ContentJudge:
+def build_quarantine_controller(state: RegistryState) -> ContentJudge:
     """Return what judges contents with the links of a registry process."""
     return ContentJudge(
         node=state.node,
         tell_entries=lambda message: post_to_all(state.entry_links.values(), message),
         tell_peers=lambda message: post_to_all(state.peers.links.values(), message),
-        has_ended=lambda instance: has_ended(state, instance),
+        has_ended=lambda instance: has_exited(state, instance),
     )
 
 
-def has_ended(state: RegistryState, instance: str) -> bool:
+def has_exited(state: RegistryState, instance: str) -> bool:
     """Tell whether a run of an upstream has ended for certain.
 
     It has once a newer run has registered in its place, if its heartbeats stay away, or if several
--- a/tests/daemons/test_content_judge.py
+++ b/tests/daemons/test_content_judge.py
@@ -16,7 +16,7 @@
 from ledgeladder.coordination.registrations import RegistrationTable, apply_registration
 from ledgeladder.daemons import content_judge
 from ledgeladder.daemons.content_judge import ContentJudge
-from ledgeladder.daemons.registry.upstream_ends import has_ended
+from ledgeladder.daemons.registry.upstream_exits import has_exited
 from ledgeladder.links import post_to_all
 from ledgeladder.links.frames import FRAME_LIMIT, FrameBuffer
 from ledgeladder.links.messages import (
@@ -147,13 +147,13 @@
         now = anyio.current_time()
         alive = Registration(instance="i-0", sequence=1, address="10.0.0.9:1")
         apply_registration(state.table, alive, now)
-        assert not has_ended(state, "i-0")
-        assert has_ended(state, "i-unknown")
+        assert not has_exited(state, "i-0")
+        assert has_exited(state, "i-unknown")
         later = Registration(instance="i-1", sequence=1, address="10.0.0.9:1")
         apply_registration(state.table, later, now + 0.1)
-        assert has_ended(state, "i-0")
-        assert not has_ended(state, "i-1")
+        assert has_exited(state, "i-0")
+        assert not has_exited(state, "i-1")
         state.table.known["i-1"].last_seen_at = now - 10.0
-        assert has_ended(state, "i-1")
+        assert has_exited(state, "i-1")
 
     anyio.run(play)
