--- a/src/ledgeladder/daemons/registry/http_api.py
+++ b/src/ledgeladder/daemons/registry/http_api.py
@@ -35,10 +35,10 @@
 
 logger = logging.getLogger(__name__)
 
-DOCUMENT_LIMIT_BYTES: Final = 16 * 1024 * 1024
+MAX_DOCUMENT_BYTES: Final = 16 * 1024 * 1024
 """Longest document that an operator may publish."""
 
-READ_SECONDS: Final = 0.8
+READ_TIMEOUT_SECONDS: Final = 0.8
 """How long a read waits to be sure of the newest version. Operators move on to another box after
 a second without an answer."""
 
@@ -67,7 +67,7 @@
                 logger.info("call refused", extra={"code": call.code.name, "detail": call.detail})
                 await write_problem(exchange, call)
 
-    limits = CallerLimits(body_bytes=DOCUMENT_LIMIT_BYTES)
+    limits = CallerLimits(body_bytes=MAX_DOCUMENT_BYTES)
     return HttpSite(
         handler=handle,
         write_problem=write_problem,
@@ -82,7 +82,7 @@
     """Take a registration, tell everybody, then acknowledge."""
     registration = call.registration
     counters["registrations"] += 1
-    if not _names_a_pool(state, registration):
+    if not _has_known_pool(state, registration):
         detail = f"{registration.instance}: no pool {registration.pool!r}"
         await write_problem(exchange, Problem(code=ResultCode.REGISTRATION_INVALID, detail=detail))
         return
@@ -103,7 +103,7 @@
     await exchange.answer(OK, JSON_HEADERS, ACKNOWLEDGED)
 
 
-def _names_a_pool(state: RegistryState, registration: Registration) -> bool:
+def _has_known_pool(state: RegistryState, registration: Registration) -> bool:
     """Tell whether a registration names a pool that the document has.
 
     An upstream that was known under a pool before the document dropped it is still acknowledged,
@@ -147,7 +147,7 @@
 async def _read(
     state: RegistryState, counters: Counter[str], request: HttpRequest, exchange: Exchange
 ) -> None:
-    if not await wait_until_fresh(state, request.arrived_at, READ_SECONDS):
+    if not await wait_until_fresh(state, request.arrived_at, READ_TIMEOUT_SECONDS):
         counters[ResultCode.BELIEF_STALE.name] += 1
         logger.warning("read refused", extra={"version": state.node.state.published.version})
         await write_problem(exchange, Problem(code=ResultCode.BELIEF_STALE, retry_after=0.5))
--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -52,7 +52,7 @@
 LEASE_SHARE: Final = 0.8
 """Lease as a share of the election time-out; the rest is room for clocks that drift apart."""
 
-HANDOVER_SECONDS: Final = 1.5
+HANDOVER_TIMEOUT_SECONDS: Final = 1.5
 """How long a planned stop waits for another leader."""
 
 START_RETRY_SECONDS: Final = 1.0
@@ -96,17 +96,17 @@
         link_port=settings.cluster.link_port,
         serve=serve,
     )
-    node = _open(settings, send, changed)
+    node = _open_node(settings, send, changed)
     state = RegistryState(settings=settings, node=node, peers=peers)
     state.quarantine_controller = build_quarantine_controller(state)
     state.rate_granter = build_rate_granter(state)
     state.table.heartbeat = settings.bounds.heartbeat_ms / 1000.0
     links.append(state)
-    take_published(state)
+    apply_published(state)
     return state
 
 
-def _open(
+def _open_node(
     settings: RegistrySettings,
     send: Callable[[Envelope], None],
     changed: Callable[[], None],
@@ -147,7 +147,7 @@
     return node
 
 
-def take_published(state: RegistryState) -> None:
+def apply_published(state: RegistryState) -> None:
     """Decode a newly published document for the placement and send it to the entry boxes."""
     published = state.node.state.published
     if published.version == state.sent_version:
@@ -161,7 +161,7 @@
     push_document(state)
 
 
-async def keep_publishing(state: RegistryState) -> None:
+async def watch_published(state: RegistryState) -> None:
     """Send each newly published document and each new content in quarantine out, for ever.
 
     A restart applies the whole log in one go: only the last of its documents is sent, since an
@@ -171,10 +171,10 @@
         await state.published_changed.wait()
         state.published_changed = anyio.Event()
         tell_quarantine(quarantine_controller_of(state))
-        take_published(state)
+        apply_published(state)
 
 
-async def _build_with_room(settings: RegistrySettings) -> RegistryState:
+async def _build_state_with_retry(settings: RegistrySettings) -> RegistryState:
     """Build the state, once the disk has room for what a new folder needs.
 
     Raises:
@@ -200,7 +200,7 @@
     Raises:
         StorageError: If the data folder cannot be trusted or the disk fails.
     """
-    state = await _build_with_room(settings)
+    state = await _build_state_with_retry(settings)
     counters: Counter[str] = Counter()
     seeds = SeedList(path=path, seeds=settings.cluster.seeds)
     site = build_site(state, counters)
@@ -231,7 +231,7 @@
         Child(name="news", run=lambda: broadcast_updates(state), restart=Restart.ALWAYS),
         Child(name="loads", run=lambda: broadcast_loads(state), restart=Restart.ALWAYS),
         Child(name="newest", run=lambda: poll_leader(state), restart=Restart.ALWAYS),
-        Child(name="publishing", run=lambda: keep_publishing(state), restart=Restart.ALWAYS),
+        Child(name="publishing", run=lambda: watch_published(state), restart=Restart.ALWAYS),
         Child(
             name="quarantine",
             run=lambda: keep_judging(quarantine_controller_of(state)),
@@ -265,6 +265,6 @@
     """Let another member lead before this one stops, and wait for it for a bounded time."""
     if not node.replica.is_leader or not start_any_handover(node):
         return
-    with anyio.move_on_after(HANDOVER_SECONDS):
+    with anyio.move_on_after(HANDOVER_TIMEOUT_SECONDS):
         while node.replica.is_leader:
             await anyio.sleep(0.02)
--- a/src/ledgeladder/daemons/registry/order_sending.py
+++ b/src/ledgeladder/daemons/registry/order_sending.py
@@ -25,10 +25,10 @@
 
 logger = logging.getLogger(__name__)
 
-CALL_SECONDS: Final = 1.5
+CALL_TIMEOUT_SECONDS: Final = 1.5
 """How long an engine may take to answer an order."""
 
-CALLS_OF_AN_ORDER: Final = 2
+REQUESTS_PER_ORDER: Final = 2
 """What an order takes of the requests a second that an engine names: a report is asked for first.
 It is not held back for that, since an engine without its layers serves nobody."""
 
@@ -41,7 +41,7 @@
     return raft.holds_lease(replica, clock.now())
 
 
-def written_range(holding: Holding | None) -> str:
+def format_range(holding: Holding | None) -> str:
     """Write a range of layers for the log; empty for none."""
     return f"{holding.first}-{holding.end}" if holding is not None else ""
 
@@ -59,7 +59,7 @@
         "layers ordered",
         extra={
             "upstream": engine.instance,
-            "layers": written_range(holding),
+            "layers": format_range(holding),
             "card": engine.card,
             "term": fence,
             "outcome": outcome.value,
@@ -83,7 +83,7 @@
     """
     if is_backing_off(state.backoffs, engine.instance, clock.now()):
         return OrderOutcome.BACKING_OFF
-    note_own_calls(rate_granter_of(state), engine.instance, CALLS_OF_AN_ORDER)
+    note_own_calls(rate_granter_of(state), engine.instance, REQUESTS_PER_ORDER)
     try:
         return await _send_order(state, engine, holding, fence)
     except RestAskedError as error:
@@ -105,18 +105,18 @@
     """
     source = state.settings.box.address
     try:
-        with anyio.fail_after(CALL_SECONDS):
-            report = await fetch_report(engine.address, source=source, seconds=CALL_SECONDS)
+        with anyio.fail_after(CALL_TIMEOUT_SECONDS):
+            report = await fetch_report(engine.address, source=source, seconds=CALL_TIMEOUT_SECONDS)
             if report is None or report.is_busy:
                 return OrderOutcome.NO_ANSWER
-            connection = await connect(engine.address, source=source, seconds=CALL_SECONDS)
+            connection = await connect(engine.address, source=source, seconds=CALL_TIMEOUT_SECONDS)
     except (AnswerBrokenError, ConnectError, TimeoutError):
         return OrderOutcome.NO_ANSWER
     try:
         if not may_order(state) or state.node.replica.term != fence:
             return OrderOutcome.NO_ANSWER
         call = place_call(engine.instance, holding, fence, report.started_orders, wait=True)
-        with anyio.fail_after(CALL_SECONDS):
+        with anyio.fail_after(CALL_TIMEOUT_SECONDS):
             head = await send_call(connection, call)
         return read_outcome(head.status_code)
     except (AnswerBrokenError, TimeoutError):
--- a/src/ledgeladder/daemons/registry/placement.py
+++ b/src/ledgeladder/daemons/registry/placement.py
@@ -29,7 +29,7 @@
     split_group,
 )
 from ...routing.placement_repair import plan_repairs
-from .order_sending import may_order, order_layers, written_range
+from .order_sending import format_range, may_order, order_layers
 from .state import controls_last_seen
 
 if TYPE_CHECKING:
@@ -330,8 +330,8 @@
                 "up": len(up),
                 "registered": len(engines),
                 "upstream": spare.instance,
-                "layers_before": written_range(spare.holding),
-                "layers": written_range(holding),
+                "layers_before": format_range(spare.holding),
+                "layers": format_range(holding),
             },
         )
         orders.append((up[spare.instance], holding))
--- a/tests/daemons/registry/test_http_api.py
+++ b/tests/daemons/registry/test_http_api.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ledgeladder.coordination.registrations import RegistrationTable, apply_registration
-from ledgeladder.daemons.registry.http_api import _names_a_pool
+from ledgeladder.daemons.registry.http_api import _has_known_pool
 from ledgeladder.model.registration import Registration, UpstreamState
 
 
@@ -34,4 +34,4 @@
     said = Registration(instance="i-1", sequence=2, pool=pool, address="a:1", state=state)
     if is_known:
         apply_registration(held.table, said, 0.0)
-    assert _names_a_pool(held, said) is is_taken
+    assert _has_known_pool(held, said) is is_taken
