--- a/src/ledgeladder/daemons/content_judge.py
+++ b/src/ledgeladder/daemons/content_judge.py
@@ -1,7 +1,7 @@
-"""The control boxes' part in contents under which upstreams end.
+"""Quarantines request contents that crash upstreams, on control boxes.
 
-They add up what entry boxes saw, and the one that leads puts a content that is to blame in
-quarantine. Both kinds of control processes use this, each with its own links.
+Every control box merges the crash reports of entry boxes. The leader commits the quarantine of a
+content that is to blame. Both kinds of control processes use this module, each with its own links.
 """
 
 from __future__ import annotations
@@ -34,100 +34,110 @@
 
 logger = logging.getLogger(__name__)
 
-JUDGE_SECONDS: Final = 0.2
-"""How often the leader looks for contents to blame. A content that ends its upstreams takes 0.2 s
-for each, with the way to the next one."""
+EVALUATION_INTERVAL_SECONDS: Final = 0.2
+"""Interval at which the leader checks for contents to blame. It is no longer than a crash and the
+retry on the next upstream take."""
 
-SUSPECT_ENDS: Final = 2
-"""Ends under a content from which on all entry boxes are told of it. Most contents with one are
-innocent, a hundred for each upstream that ends."""
+MIN_SUSPECT_CRASHES: Final = 2
+"""Crashes under a content from which on it is reported to all entry boxes. Most contents with a
+single crash only shared the upstream with the cause."""
 
 
-class ContentJudge(msgspec.Struct, kw_only=True):
-    """What one control box knows of contents under which upstreams end."""
+class QuarantineController(msgspec.Struct, kw_only=True):
+    """Quarantine state of one control box."""
 
     node: ControlNode
-    """Its member of the replicated log."""
+    """This box's member of the replicated log."""
 
-    tell_entries: Callable[[LinkMessage], None]
-    """Tells the entry boxes that follow this box."""
+    broadcast_to_entries: Callable[[LinkMessage], None]
+    """Sends a message to the entry boxes that follow this box."""
 
-    tell_peers: Callable[[LinkMessage], None]
-    """Tells the other control boxes."""
+    broadcast_to_peers: Callable[[LinkMessage], None]
+    """Sends a message to the other control boxes."""
 
-    has_ended: Callable[[str], bool]
-    """Tells whether a run of an upstream has ended for certain."""
+    has_exited: Callable[[str], bool]
+    """Returns whether the exit of an upstream instance is confirmed."""
 
-    book: CrashTable = msgspec.field(default_factory=CrashTable)
-    """Ends that entry boxes saw, here or at other control boxes."""
+    crash_table: CrashTable = msgspec.field(default_factory=CrashTable)
+    """Crashes that entry boxes reported to this box or to other control boxes."""
 
-    told_changes: int = 0
-    """Contents that had been put in quarantine when entry boxes were last told of them."""
+    last_broadcast_changes: int = 0
+    """Value of the quarantine's change counter at the last broadcast to entry boxes."""
 
 
-def take_crash_report(judge: ContentJudge, report: CrashReport, *, to_peers: bool) -> None:
-    """Take in that an upstream ended while a request was on it, and tell others what is news.
+def handle_crash_report(
+    controller: QuarantineController, report: CrashReport, *, to_peers: bool
+) -> None:
+    """Record a crash that an entry box reported, and broadcast it if it is new.
 
     Args:
-        judge: What this box knows.
-        report: What an entry box saw.
-        to_peers: True if it told this box, so that the other control boxes must be told.
+        controller: The controller.
+        report: The report.
+        to_peers: Whether to forward it to the other control boxes. True if it came from an entry
+            box.
     """
-    if not record_crash(judge.book, report.content, report.instance):
+    if not record_crash(controller.crash_table, report.content, report.instance):
         return
     if to_peers:
-        judge.tell_peers(report)
-    ends = crash_count(judge.book, report.content)
-    if ends < SUSPECT_ENDS:
+        controller.broadcast_to_peers(report)
+    crashes = crash_count(controller.crash_table, report.content)
+    if crashes < MIN_SUSPECT_CRASHES:
         return
     logger.warning(
-        "content suspected",
-        extra={"content": report.content.hex(), "upstream": report.instance, "ends": ends},
+        "request content suspected",
+        extra={"content": report.content.hex(), "upstream": report.instance, "ends": crashes},
     )
-    judge.tell_entries(SuspectNews(content=report.content, ends=ends))
+    controller.broadcast_to_entries(SuspectNews(content=report.content, ends=crashes))
 
 
-def take_served(judge: ContentJudge, served: ContentServed, *, to_peers: bool) -> None:
-    """Take in that a request with a content was answered: it is not to blame."""
-    if clear_crashes(judge.book, served.content) and to_peers:
-        judge.tell_peers(served)
+def handle_content_served(
+    controller: QuarantineController, served: ContentServed, *, to_peers: bool
+) -> None:
+    """Clear the crashes under a content that was answered, and forward the message to peers."""
+    if clear_crashes(controller.crash_table, served.content) and to_peers:
+        controller.broadcast_to_peers(served)
 
 
-async def keep_judging(judge: ContentJudge) -> None:
-    """Put the contents that are to blame in quarantine while this box leads, for ever."""
+async def run_quarantine_controller(controller: QuarantineController) -> None:
+    """Quarantine contents that are to blame while this box leads; runs until cancelled."""
     while True:
-        await anyio.sleep(JUDGE_SECONDS)
-        if judge.book.suspects and judge.node.replica.is_leader:
-            await judge_contents(judge)
-
-
-async def judge_contents(judge: ContentJudge) -> None:
-    """Put the contents that are to blame in quarantine; those that are there are forgotten here."""
-    held = seconds_left(judge.node.state.quarantine, wall_clock_ms())
-    for content in held.keys() & judge.book.suspects.keys():
-        clear_crashes(judge.book, content)
-    for content in list(blamed_fingerprints(judge.book, judge.has_ended)):
-        ends = sorted(judge.book.suspects.get(content, ()))
-        command = QuarantineCommand(fingerprint=content, time_ms=wall_clock_ms())
-        outcome = await submit(judge.node, command)
+        await anyio.sleep(EVALUATION_INTERVAL_SECONDS)
+        if controller.crash_table.suspects and controller.node.replica.is_leader:
+            await quarantine_blamed(controller)
+
+
+async def quarantine_blamed(controller: QuarantineController) -> None:
+    """Quarantine contents that are to blame, and clear the crashes under quarantined ones."""
+    quarantined = seconds_left(controller.node.state.quarantine, wall_clock_ms())
+    for fingerprint in quarantined.keys() & controller.crash_table.suspects.keys():
+        clear_crashes(controller.crash_table, fingerprint)
+    for fingerprint in list(blamed_fingerprints(controller.crash_table, controller.has_exited)):
+        crashes = sorted(controller.crash_table.suspects.get(fingerprint, ()))
+        command = QuarantineCommand(fingerprint=fingerprint, time_ms=wall_clock_ms())
+        outcome = await submit(controller.node, command)
         if isinstance(outcome, Failure):
             detail = outcome.failure().code.name
-            logger.warning("quarantine failed", extra={"content": content.hex(), "detail": detail})
+            logger.warning(
+                "quarantine could not be committed",
+                extra={"content": fingerprint.hex(), "detail": detail},
+            )
             return
-        clear_crashes(judge.book, content)
-        logger.warning("content put in quarantine", extra={"content": content.hex(), "ends": ends})
+        clear_crashes(controller.crash_table, fingerprint)
+        logger.warning(
+            "request content quarantined", extra={"content": fingerprint.hex(), "ends": crashes}
+        )
 
 
-def quarantine_news(judge: ContentJudge) -> QuarantineNews:
-    """Return which contents are sent to no upstream."""
-    held = judge.node.state.quarantine
-    return QuarantineNews(seconds_left=seconds_left(held, wall_clock_ms()))
+def quarantine_update(controller: QuarantineController) -> QuarantineNews:
+    """Return the quarantined contents as a message for entry boxes."""
+    quarantined = controller.node.state.quarantine
+    return QuarantineNews(seconds_left=seconds_left(quarantined, wall_clock_ms()))
 
 
-def tell_quarantine(judge: ContentJudge) -> None:
-    """Tell the entry boxes which contents are sent nowhere, if any has been added."""
-    changes = judge.node.state.quarantine.changes
-    if changes == judge.told_changes:
+def broadcast_quarantine(controller: QuarantineController) -> None:
+    """Broadcast the quarantined contents to entry boxes if any was added."""
+    changes = controller.node.state.quarantine.changes
+    if changes == controller.last_broadcast_changes:
         return
-    judge.told_changes = changes
-    judge.tell_entries(quarantine_news(judge))
+    controller.last_broadcast_changes = changes
+    controller.broadcast_to_entries(quarantine_update(controller))
--- a/src/ledgeladder/daemons/control/hub.py
+++ b/src/ledgeladder/daemons/control/hub.py
@@ -40,13 +40,13 @@
 from .. import clock
 from ..clock import wall_clock_ms
 from ..content_judge import (
-    ContentJudge,
-    quarantine_news,
-    take_crash_report,
-    take_served,
-    tell_quarantine,
+    QuarantineController,
+    broadcast_quarantine,
+    handle_content_served,
+    handle_crash_report,
+    quarantine_update,
 )
-from ..rate_lender import RateLender, answer_grants, limit_news, take_limits
+from ..rate_lender import RateGranter, apply_limits, handle_grant_request, limit_update
 from .node import submit
 
 if TYPE_CHECKING:
@@ -98,10 +98,10 @@
     boxes: dict[str, KnownBox] = msgspec.field(default_factory=dict)
     """Entry boxes by name, connected here or reported by another control box."""
 
-    judge: ContentJudge | None = None
+    judge: QuarantineController | None = None
     """What this box knows of contents under which upstreams end; None before the node is built."""
 
-    lender: RateLender | None = None
+    lender: RateGranter | None = None
     """Limits that upstreams name, and what it lends of them; None before the node is built."""
 
     own_boxes: dict[str, InForce] = msgspec.field(default_factory=dict)
@@ -115,38 +115,38 @@
         link.post(LogMessage(envelope=envelope))
 
 
-def judge_of(hub: Hub) -> ContentJudge:
+def judge_of(hub: Hub) -> QuarantineController:
     """Return what a control box knows of contents under which upstreams end."""
     assert hub.judge is not None
     return hub.judge
 
 
-def build_judge(hub: Hub, node: ControlNode) -> ContentJudge:
+def build_judge(hub: Hub, node: ControlNode) -> QuarantineController:
     """Return what judges contents with the links of a control box.
 
     Entry boxes tell each end under a name of its own, and only where nobody listened any more.
     """
-    return ContentJudge(
+    return QuarantineController(
         node=node,
-        tell_entries=lambda message: post_to_all(hub.follower_links.values(), message),
-        tell_peers=lambda message: post_to_all(hub.peers.values(), message),
-        has_ended=lambda _instance: True,
+        broadcast_to_entries=lambda message: post_to_all(hub.follower_links.values(), message),
+        broadcast_to_peers=lambda message: post_to_all(hub.peers.values(), message),
+        has_exited=lambda _instance: True,
     )
 
 
-def lender_of(hub: Hub) -> RateLender:
+def lender_of(hub: Hub) -> RateGranter:
     """Return what a control box knows of limits that upstreams name."""
     assert hub.lender is not None
     return hub.lender
 
 
-def build_lender(hub: Hub, node: ControlNode) -> RateLender:
+def build_lender(hub: Hub, node: ControlNode) -> RateGranter:
     """Return what lends requests with the links of a control box."""
-    return RateLender(
+    return RateGranter(
         parts=lambda: len(node.replica.log.members.voters),
-        may_lend=lambda: _may_lend(node),
-        tell_entries=lambda message: post_to_all(hub.follower_links.values(), message),
-        tell_peers=lambda message: post_to_all(hub.peers.values(), message),
+        may_grant=lambda: _may_lend(node),
+        broadcast_to_entries=lambda message: post_to_all(hub.follower_links.values(), message),
+        broadcast_to_peers=lambda message: post_to_all(hub.peers.values(), message),
     )
 
 
@@ -161,7 +161,7 @@
 def push_configuration(hub: Hub, node: ControlNode) -> None:
     """Send the newest change to every follower, and which contents are sent nowhere."""
     if hub.judge is not None:
-        tell_quarantine(hub.judge)
+        broadcast_quarantine(hub.judge)
     for link in hub.follower_links.values():
         link.post(DeltaPush(deltas=tuple(node.state.deltas[-1:])))
 
@@ -236,13 +236,13 @@
         case InForceReport() if from_control:
             _note_boxes(hub, message.boxes)
         case CrashReport():
-            take_crash_report(judge_of(hub), message, to_peers=not from_control)
+            handle_crash_report(judge_of(hub), message, to_peers=not from_control)
         case ContentServed():
-            take_served(judge_of(hub), message, to_peers=not from_control)
+            handle_content_served(judge_of(hub), message, to_peers=not from_control)
         case RateLimitNews():
-            take_limits(lender_of(hub), message.limits, to_peers=not from_control)
+            apply_limits(lender_of(hub), message.limits, to_peers=not from_control)
         case GrantRequest():
-            answer_grants(lender_of(hub), link, message)
+            handle_grant_request(lender_of(hub), link, message)
         case Pull():
             _answer_pull(hub, node, link, message)
         case TermQuery():
@@ -278,8 +278,8 @@
 
 def _answer_pull(hub: Hub, node: ControlNode, link: Link, pull: Pull) -> None:
     if id(link) not in hub.follower_links:
-        link.post(quarantine_news(judge_of(hub)))
-        link.post(limit_news(lender_of(hub)))
+        link.post(quarantine_update(judge_of(hub)))
+        link.post(limit_update(lender_of(hub)))
     hub.follower_links[id(link)] = link
     deltas = None if pull.full else deltas_after(node.state, pull.version)
     if deltas is None:
--- a/src/ledgeladder/daemons/control/main.py
+++ b/src/ledgeladder/daemons/control/main.py
@@ -13,10 +13,10 @@
 from ...links import LinkIdentity, keep_link, serve_links
 from ...links.messages import PeerRole
 from ...storage import INITIAL_INCARNATION, create_identity, member_id, read_identity
-from ..content_judge import keep_judging
+from ..content_judge import run_quarantine_controller
 from ..http import serve_http, upstream_client
 from ..log_child import log_child
-from ..rate_lender import keep_telling_limits
+from ..rate_lender import run_limit_broadcasts
 from ..signals import on_stop_signal
 from ..supervisor import Child, Restart, supervise
 from .handover import start_any_handover
@@ -159,8 +159,10 @@
         Child(name="operators", run=lambda: serve_http(app, operator_address, stop)),
         log_child(),
         Child(name="orders", run=lambda: run_orders(node, hub, client), restart=Restart.ALWAYS),
-        Child(name="quarantine", run=lambda: keep_judging(judge), restart=Restart.ALWAYS),
-        Child(name="limits", run=lambda: keep_telling_limits(lender), restart=Restart.ALWAYS),
+        Child(
+            name="quarantine", run=lambda: run_quarantine_controller(judge), restart=Restart.ALWAYS
+        ),
+        Child(name="limits", run=lambda: run_limit_broadcasts(lender), restart=Restart.ALWAYS),
         Child(name="heads", run=lambda: send_heads(hub, node), restart=Restart.ALWAYS),
         *(link_child(peer) for peer in others),
     ]
--- a/src/ledgeladder/daemons/entry/attempt.py
+++ b/src/ledgeladder/daemons/entry/attempt.py
@@ -24,7 +24,7 @@
     run_on_engine,
 )
 from ..clock import now
-from ..limit_keeper import note_rate
+from ..limit_keeper import record_advertised_rate
 from .context import limit_keeper_of
 from .metrics import record
 from .watching import answers
@@ -190,7 +190,7 @@
     head, sent_at = session.route.head.upstream, now()
 
     def take_rate(named: NamedRate | None) -> None:
-        note_rate(limit_keeper_of(context), head, named, sent_at, is_own=True)
+        record_advertised_rate(limit_keeper_of(context), head, named, sent_at, is_own=True)
 
     try:
         async with aclosing(run_on_engine(context.client, run, take_rate)) as batches:
--- a/src/ledgeladder/daemons/entry/context.py
+++ b/src/ledgeladder/daemons/entry/context.py
@@ -33,7 +33,7 @@
     from ...routing.admission import Ticket
     from ...routing.chain import EngineSelector
     from ...settings import EntrySettings
-    from ..limit_keeper import LimitKeeper
+    from ..limit_keeper import RateLimiter
     from .command_client import CommandClient
 
 logger = logging.getLogger(__name__)
@@ -93,7 +93,7 @@
     tell_controls: Callable[[LinkMessage], None] = lambda _message: None
     """Tells the control boxes that are linked."""
 
-    limit_keeper: LimitKeeper | None = None
+    limit_keeper: RateLimiter | None = None
     """Keeps to the requests a second that upstreams name; None until the links are built."""
 
     budget: RetryBudget = msgspec.field(default_factory=RetryBudget)
@@ -118,7 +118,7 @@
     """Requests of callers that have not been answered in full."""
 
 
-def limit_keeper_of(context: EntryContext) -> LimitKeeper:
+def limit_keeper_of(context: EntryContext) -> RateLimiter:
     """Return what keeps to the requests a second that upstreams name."""
     assert context.limit_keeper is not None
     return context.limit_keeper
--- a/src/ledgeladder/daemons/entry/follower.py
+++ b/src/ledgeladder/daemons/entry/follower.py
@@ -21,7 +21,7 @@
     Pull,
     VersionHead,
 )
-from ..limit_keeper import take_limit_message
+from ..limit_keeper import handle_limit_message
 from .context import in_background, limit_keeper_of, put_in_force
 from .crashes import take_content_news
 from .gate import pass_order
@@ -86,7 +86,7 @@
                     continue
                 if control and take_content_news(context, message):
                     continue
-                if control and take_limit_message(limit_keeper_of(context), message):
+                if control and handle_limit_message(limit_keeper_of(context), message):
                     continue
                 take_version_message(context, link, message)
                 follower.answered.add(box)
--- a/src/ledgeladder/daemons/entry/main.py
+++ b/src/ledgeladder/daemons/entry/main.py
@@ -15,7 +15,7 @@
 from ...routing.upstream_table import attach_limit, take_box_list
 from ...upstreams.box_list import read_box_list
 from ..http import serve_http, upstream_client
-from ..limit_keeper import LimitKeeper, keep_limits
+from ..limit_keeper import RateLimiter, run_rate_limiter
 from ..log_child import log_child
 from ..signals import on_stop_signal
 from ..supervisor import Child, Restart, supervise
@@ -116,10 +116,10 @@
     )
     follower = Follower()
     context.tell_controls = lambda message: tell_controls(follower, message)
-    keeper = context.limit_keeper = LimitKeeper(
+    keeper = context.limit_keeper = RateLimiter(
         table=context.upstreams.limits,
         attach=lambda name, held: attach_limit(context.upstreams, name, held),
-        controls=lambda: control_links(follower),
+        control_links=lambda: control_links(follower),
     )
     membership = build_membership(context)
     own_domain = settings.box.failure_domain
@@ -179,7 +179,7 @@
             run=lambda: watch_upstreams(context, membership),
             restart=Restart.ALWAYS,
         ),
-        Child(name="limits", run=lambda: keep_limits(keeper), restart=Restart.ALWAYS),
+        Child(name="limits", run=lambda: run_rate_limiter(keeper), restart=Restart.ALWAYS),
         Child(name="probing", run=lambda: probe_suspects(context), restart=Restart.ALWAYS),
         *(follow_child(peer, control=True) for peer in settings.controls),
         *(follow_child(peer, control=False) for peer in neighbours),
--- a/src/ledgeladder/daemons/entry/service_calls.py
+++ b/src/ledgeladder/daemons/entry/service_calls.py
@@ -31,7 +31,7 @@
 )
 from ...upstreams.service import ServiceAnswer, ServiceCall, ServiceCallError, call_service
 from ..clock import now, wall_clock_ms
-from ..limit_keeper import note_rate
+from ..limit_keeper import record_advertised_rate
 from .checks import Permit, refuse
 from .command_client import commit
 from .context import in_background, limit_keeper_of
@@ -140,7 +140,9 @@
         note_failure(view, now())
         raise ServiceCallError(Execution.UNKNOWN, "the deadline passed") from error
     except ServiceCallError as error:
-        note_rate(keeper, name, error.named_rate, sent_at, is_own=error.rest_seconds is not None)
+        record_advertised_rate(
+            keeper, name, error.named_rate, sent_at, is_own=error.rest_seconds is not None
+        )
         if error.rest_seconds is None:
             note_failure(view, now())
         else:
@@ -152,7 +154,7 @@
         raise
     finally:
         view.in_flight -= 1
-    note_rate(keeper, name, answer.named_rate, sent_at, is_own=True)
+    record_advertised_rate(keeper, name, answer.named_rate, sent_at, is_own=True)
     if answer.rest_seconds is not None:
         note_rest(view, answer.rest_seconds, now())
     note_success(view)
--- a/src/ledgeladder/daemons/gateway/backpressure.py
+++ b/src/ledgeladder/daemons/gateway/backpressure.py
@@ -10,7 +10,7 @@
 from ...routing.forwarding_table import held_requests, limits_in
 from ...routing.rate_grants import note_wanted
 from ...routing.upstream_wishes import ask_rest, note_fullness, say_leaving
-from ..limit_keeper import note_rate
+from ..limit_keeper import record_advertised_rate
 from .state import limit_keeper_of
 
 if TYPE_CHECKING:
@@ -45,7 +45,9 @@
         return
     instance = upstream.registration.instance
     is_own = facts.signed or facts.not_run
-    note_rate(limit_keeper_of(state), instance, facts.named_rate, sent_at, is_own=is_own)
+    record_advertised_rate(
+        limit_keeper_of(state), instance, facts.named_rate, sent_at, is_own=is_own
+    )
     if facts.leaving and say_leaving(state.table.book, upstream.registration, upstream.wishes):
         state.metrics.counters["upstream-said-leaving"] += 1
         logger.info(
--- a/src/ledgeladder/daemons/gateway/control_link.py
+++ b/src/ledgeladder/daemons/gateway/control_link.py
@@ -48,8 +48,8 @@
 )
 from ...routing.load_sharing import is_report_due, load_interval
 from ...routing.route_index import build_index
-from ..limit_keeper import take_limit_message
-from ..peers import SILENCE_SECONDS, add_peers, primary_of
+from ..limit_keeper import handle_limit_message
+from ..peers import LINK_INACTIVITY_SECONDS, add_peers, primary_of
 from .borrowing import handle_quota_reply
 from .crashes import handle_quarantine_update, handle_suspect_update
 from .loss_updates import confirm_loss, handle_loss_update
@@ -89,7 +89,7 @@
         tasks.start_soon(_poll_version, state, link)
         tasks.start_soon(_report_load, state, address, link)
         while True:
-            with anyio.fail_after(SILENCE_SECONDS):
+            with anyio.fail_after(LINK_INACTIVITY_SECONDS):
                 message = await link.receive()
             match message:
                 case VersionReply():
@@ -115,7 +115,7 @@
                 case LoanReply():
                     handle_quota_reply(state, message)
                 case RateLimitNews() | GrantReply():
-                    take_limit_message(limit_keeper_of(state), message)
+                    handle_limit_message(limit_keeper_of(state), message)
                 case LoadTotals():
                     _apply_load_totals(state, unpack_loads(order, message.order, message.loads))
                 case PeerHint():
--- a/src/ledgeladder/daemons/gateway/main.py
+++ b/src/ledgeladder/daemons/gateway/main.py
@@ -10,7 +10,7 @@
 from ...http1 import HttpSite, serve_http1
 from ...links.messages import PeerRole
 from ...settings import load_gateway_settings
-from ..limit_keeper import keep_limits
+from ..limit_keeper import run_rate_limiter
 from ..log_child import log_child
 from ..metrics_page import metrics_child
 from ..peers import Peers, own_identity, run_peers
@@ -77,7 +77,7 @@
         own_address=own,
         link_port=settings.cluster.link_port,
         serve=serve,
-        limit=MAX_CONTROL_LINKS,
+        max_links=MAX_CONTROL_LINKS,
         is_stale=is_stale,
     )
     return state
@@ -116,7 +116,9 @@
         ),
         Child(name="rests", run=lambda: log_backoff_ends(state), restart=Restart.ALWAYS),
         Child(
-            name="limits", run=lambda: keep_limits(limit_keeper_of(state)), restart=Restart.ALWAYS
+            name="limits",
+            run=lambda: run_rate_limiter(limit_keeper_of(state)),
+            restart=Restart.ALWAYS,
         ),
         log_child(),
         metrics_child(
--- a/src/ledgeladder/daemons/gateway/state.py
+++ b/src/ledgeladder/daemons/gateway/state.py
@@ -27,7 +27,7 @@
 from ...routing.suspected_links import SuspectedLinks
 from ...routing.wait_queue import WaitQueue
 from .. import clock
-from ..limit_keeper import LimitKeeper
+from ..limit_keeper import RateLimiter
 
 if TYPE_CHECKING:
     from ...model.traffic import TrafficConfiguration
@@ -234,7 +234,7 @@
     peers: Peers | None = None
     """Links to control boxes."""
 
-    limit_keeper: LimitKeeper | None = None
+    limit_keeper: RateLimiter | None = None
     """Enforces the rate limits that upstreams name, in requests per second."""
 
     stopping: bool = False
@@ -247,10 +247,10 @@
     """True once a planned stop has timed out and cancels the requests in progress."""
 
     def __post_init__(self) -> None:
-        self.limit_keeper = LimitKeeper(
+        self.limit_keeper = RateLimiter(
             table=self.table.limits,
             attach=lambda instance, limit: attach_limit(self.table, instance, limit),
-            controls=lambda: list(self.peers.links.values()) if self.peers is not None else [],
+            control_links=lambda: list(self.peers.links.values()) if self.peers is not None else [],
         )
 
     @property
@@ -264,7 +264,7 @@
         return self.configuration.limits if self.configuration is not None else CallerLimits()
 
 
-def limit_keeper_of(state: GatewayState) -> LimitKeeper:
+def limit_keeper_of(state: GatewayState) -> RateLimiter:
     """Return the limit keeper, which is set once the state is built."""
     assert state.limit_keeper is not None
     return state.limit_keeper
--- a/src/ledgeladder/daemons/limit_keeper.py
+++ b/src/ledgeladder/daemons/limit_keeper.py
@@ -1,6 +1,7 @@
-"""Keeping, together with all other boxes, to the requests a second that upstreams name.
+"""Rate limiting of an entry box, for upstreams that advertise a rate for all boxes together.
 
-Both kinds of entry processes use this, each with its own links and its own table of upstreams.
+The box reports advertised rates to control boxes and requests grants from them. Both kinds of entry
+processes use this module, each with its own links and its own table of upstreams.
 """
 
 from __future__ import annotations
@@ -45,197 +46,201 @@
 
 logger = logging.getLogger(__name__)
 
-LOG_SECONDS: Final = 1.0
-"""How often it is logged what was sent under a limit."""
+LOG_INTERVAL_SECONDS: Final = 1.0
+"""Interval at which the requests under each limit are logged."""
 
-NEWS_SECONDS: Final = 0.1
-"""Least time between two rounds of news, for upstreams that change their mind with each answer."""
+MIN_UPDATE_INTERVAL_SECONDS: Final = 0.1
+"""Minimum interval between updates. An upstream may advertise another rate in each response."""
 
 
-class LimitKeeper(msgspec.Struct, kw_only=True):
-    """What an entry box does about limits."""
+class RateLimiter(msgspec.Struct, kw_only=True):
+    """Rate limits of one entry box, and its grant requests."""
 
     table: LimitTable
-    """Limits that it knows."""
+    """Limits that this box knows."""
 
     attach: Callable[[str, HeldLimit | None], None]
-    """Gives the upstream of a name its limit, or takes it away, if the upstream is known."""
+    """Sets the limit of the upstream of this name, or removes it, if the upstream is known."""
 
-    controls: Callable[[], list[Link]]
-    """Returns the links to control boxes that are up."""
+    control_links: Callable[[], list[Link]]
+    """Returns the established links to control boxes."""
 
-    changed: dict[str, None] = msgspec.field(default_factory=dict)
-    """Upstreams whose answers here said something new that others must be told, oldest first."""
+    pending_updates: dict[str, None] = msgspec.field(default_factory=dict)
+    """Upstreams whose limits changed here and were not sent to control boxes yet, oldest first."""
 
     wake: anyio.Event = msgspec.field(default_factory=anyio.Event)
-    """Set when there is something to tell or to ask for."""
+    """Set when there is an update to send or a grant to request."""
 
-    calls: int = 0
-    """Questions that were asked; the number of the newest."""
+    last_call: int = 0
+    """Number of the newest grant request."""
 
-    asked_at: dict[int, float] = msgspec.field(default_factory=dict)
-    """When each question that may yet be answered was asked, on the monotonic clock."""
+    requested_at: dict[int, float] = msgspec.field(default_factory=dict)
+    """When each grant request that may still be answered was sent, on the monotonic clock."""
 
 
-def note_rate(
-    keeper: LimitKeeper, upstream: str, named: NamedRate | None, sent_at: float, *, is_own: bool
+def record_advertised_rate(
+    limiter: RateLimiter, upstream: str, named: NamedRate | None, sent_at: float, *, is_own: bool
 ) -> None:
-    """Take in which rate an upstream names in an answer, or that it names none.
+    """Record the rate that an upstream advertises in a response, or that it advertises none.
 
     Args:
-        keeper: The box's part.
+        limiter: The limiter.
         upstream: The upstream.
-        named: The rate that the answer names.
+        named: The advertised rate.
         sent_at: When the request was sent, on the monotonic clock.
-        is_own: True if the answer is the upstream's own for certain. Only then does one that names
-            no rate end a limit.
+        is_own: Whether the response is certain to come from the upstream itself. Only then does a
+            response without a rate withdraw the limit.
     """
     rate = math.inf if named is None else named.rate
     if rate is None:
-        # It names something that nobody can keep to, and does not take back what it named before.
+        # The advertised value is invalid, and does not withdraw an earlier one.
         return
     now = anyio.current_time()
     if rate < MAX_RATE:
-        _name(keeper, upstream, rate, now)
+        _record_advertised(limiter, upstream, rate, now)
     elif is_own:
-        _end(keeper, upstream, sent_at, now)
+        _record_withdrawn(limiter, upstream, sent_at, now)
 
 
-def _name(keeper: LimitKeeper, upstream: str, rate: float, now: float) -> None:
-    held = keeper.table.limits.get(upstream)
+def _record_advertised(limiter: RateLimiter, upstream: str, rate: float, now: float) -> None:
+    held = limiter.table.limits.get(upstream)
     if held is None:
-        _hold(keeper, upstream, RateLimit(rate=rate, advertised_at=now))
+        _start_limiting(limiter, upstream, RateLimit(rate=rate, advertised_at=now))
     elif not record_rate(held.limit, rate, now):
         return
-    logger.warning("upstream names a limit", extra={"upstream": upstream, "rate": rate, "age": 0.0})
-    _tell_soon(keeper, upstream)
+    logger.warning(
+        "upstream advertised a rate limit", extra={"upstream": upstream, "rate": rate, "age": 0.0}
+    )
+    _schedule_update(limiter, upstream)
 
 
-def _end(keeper: LimitKeeper, upstream: str, sent_at: float, now: float) -> None:
-    held = keeper.table.limits.get(upstream)
+def _record_withdrawn(limiter: RateLimiter, upstream: str, sent_at: float, now: float) -> None:
+    held = limiter.table.limits.get(upstream)
     if held is None or not record_no_rate(held.limit, sent_at, now):
         return
-    logger.info("upstream names no limit any more", extra={"upstream": upstream, "age": 0.0})
-    _tell_soon(keeper, upstream)
+    logger.info("upstream withdrew its rate limit", extra={"upstream": upstream, "age": 0.0})
+    _schedule_update(limiter, upstream)
 
 
-def _tell_soon(keeper: LimitKeeper, upstream: str) -> None:
-    keeper.changed[upstream] = None
-    keeper.wake.set()
+def _schedule_update(limiter: RateLimiter, upstream: str) -> None:
+    limiter.pending_updates[upstream] = None
+    limiter.wake.set()
 
 
-def _hold(keeper: LimitKeeper, upstream: str, limit: RateLimit) -> None:
-    """Begin to keep to the limit of an upstream, also if it is not known yet."""
-    held = keeper.table.limits[upstream] = HeldLimit(limit=limit)
-    keeper.attach(upstream, held)
+def _start_limiting(limiter: RateLimiter, upstream: str, limit: RateLimit) -> None:
+    """Start to limit an upstream, even if it is not known yet."""
+    held = limiter.table.limits[upstream] = HeldLimit(limit=limit)
+    limiter.attach(upstream, held)
 
 
-def take_limit_message(keeper: LimitKeeper, message: LinkMessage) -> bool:
-    """Take in what a control box says of limits.
+def handle_limit_message(limiter: RateLimiter, message: LinkMessage) -> bool:
+    """Handle a control box's message about limits.
 
     Returns:
-        False if the message is about something else.
+        False if the message is of another kind.
     """
     match message:
         case RateLimitNews():
-            take_limits(keeper, message.limits)
+            apply_limits(limiter, message.limits)
         case GrantReply():
-            take_grant_reply(keeper, message)
+            handle_grant_reply(limiter, message)
         case _:
             return False
     return True
 
 
-def take_limits(keeper: LimitKeeper, limits: Mapping[str, ReportedLimit]) -> None:
-    """Take in what a control box knows of limits, where that is newer."""
+def apply_limits(limiter: RateLimiter, limits: Mapping[str, ReportedLimit]) -> None:
+    """Merge limits that a control box reports."""
     now = anyio.current_time()
-    for upstream, told in limits.items():
-        held = keeper.table.limits.get(upstream)
+    for upstream, reported in limits.items():
+        held = limiter.table.limits.get(upstream)
         if held is None:
-            limit = from_reported(told, now)
+            limit = from_reported(reported, now)
             if is_expired(limit, now):
                 continue
-            _hold(keeper, upstream, limit)
-        elif not merge_reported(held.limit, told, now):
+            _start_limiting(limiter, upstream, limit)
+        elif not merge_reported(held.limit, reported, now):
             continue
-        _log_told(upstream, keeper.table.limits[upstream].limit, now)
+        _log_reported(upstream, limiter.table.limits[upstream].limit, now)
     if limits:
-        keeper.wake.set()
+        limiter.wake.set()
 
 
-def _log_told(upstream: str, limit: RateLimit, now: float) -> None:
+def _log_reported(upstream: str, limit: RateLimit, now: float) -> None:
     if limit.is_advertised:
         age = round(now - limit.advertised_at, 3)
         extra = {"upstream": upstream, "rate": limit.rate, "age": age}
-        logger.info("upstream names a limit", extra=extra)
+        logger.info("upstream advertised a rate limit", extra=extra)
     else:
         age = round(now - limit.withdrawn_at, 3)
-        logger.info("upstream names no limit any more", extra={"upstream": upstream, "age": age})
+        logger.info("upstream withdrew its rate limit", extra={"upstream": upstream, "age": age})
 
 
-def take_grant_reply(keeper: LimitKeeper, reply: GrantReply) -> None:
-    """Take in what a control box lends; an answer that comes too late counts for nothing here."""
-    take_limits(keeper, {upstream: grant.limit for upstream, grant in reply.grants.items()})
-    asked_at = keeper.asked_at.pop(reply.call, None)
+def handle_grant_reply(limiter: RateLimiter, reply: GrantReply) -> None:
+    """Add the requests that a control box granted, unless the reply is too late."""
+    apply_limits(limiter, {upstream: grant.limit for upstream, grant in reply.grants.items()})
+    requested_at = limiter.requested_at.pop(reply.call, None)
     now = anyio.current_time()
-    if asked_at is None or now >= asked_at + GRANT_TTL_SECONDS:
+    if requested_at is None or now >= requested_at + GRANT_TTL_SECONDS:
         return
     for upstream, grant in reply.grants.items():
-        held = keeper.table.limits.get(upstream)
+        held = limiter.table.limits.get(upstream)
         if held is not None:
             held.wait_until = now + grant.wait
-            add_grants(held, grant.count, asked_at + GRANT_TTL_SECONDS)
+            add_grants(held, grant.count, requested_at + GRANT_TTL_SECONDS)
 
 
-async def keep_limits(keeper: LimitKeeper) -> None:
-    """Tell control boxes what answers say of limits, and ask for requests, for ever."""
+async def run_rate_limiter(limiter: RateLimiter) -> None:
+    """Report limits to control boxes and request grants; runs until cancelled."""
     logged_at = float("-inf")
     while True:
-        with anyio.move_on_after(ASK_SECONDS if keeper.table.limits else None):
-            await keeper.wake.wait()
-        keeper.wake = anyio.Event()
+        with anyio.move_on_after(ASK_SECONDS if limiter.table.limits else None):
+            await limiter.wake.wait()
+        limiter.wake = anyio.Event()
         now = anyio.current_time()
-        links = keeper.controls()
-        _tell_changes(keeper, links, now)
-        if now - keeper.table.asked_at >= ASK_SECONDS:
-            _ask(keeper, links, now)
-        if now - logged_at >= LOG_SECONDS:
-            _log_sent(keeper)
+        links = limiter.control_links()
+        _send_updates(limiter, links, now)
+        if now - limiter.table.asked_at >= ASK_SECONDS:
+            _request_grants(limiter, links, now)
+        if now - logged_at >= LOG_INTERVAL_SECONDS:
+            _log_sent(limiter)
             logged_at = now
-        _forget_over(keeper, now)
-        await anyio.sleep(NEWS_SECONDS)
+        _drop_expired(limiter, now)
+        await anyio.sleep(MIN_UPDATE_INTERVAL_SECONDS)
 
 
-def _tell_changes(keeper: LimitKeeper, links: list[Link], now: float) -> None:
-    changed = {
+def _send_updates(limiter: RateLimiter, links: list[Link], now: float) -> None:
+    limits = {
         upstream: to_reported(held.limit, now)
-        for upstream in keeper.changed
-        if (held := keeper.table.limits.get(upstream)) is not None
+        for upstream in limiter.pending_updates
+        if (held := limiter.table.limits.get(upstream)) is not None
     }
-    keeper.changed.clear()
-    if changed:
-        post_to_all(links, RateLimitNews(limits=changed))
+    limiter.pending_updates.clear()
+    if limits:
+        post_to_all(links, RateLimitNews(limits=limits))
 
 
-def _ask(keeper: LimitKeeper, links: list[Link], now: float) -> None:
-    """Ask for requests to all limited upstreams that callers want.
+def _request_grants(limiter: RateLimiter, links: list[Link], now: float) -> None:
+    """Request grants for all limited upstreams that callers need.
 
-    Each control box lends its own part of a rate, so that each is asked for a part of them, and for
-    the odd ones in turn.
+    Each control box grants its own part of a rate, so the wanted count is divided over all of them.
+    The remainder goes to each in turn.
     """
     wanted = {
         upstream: held
-        for upstream, held in keeper.table.limits.items()
+        for upstream, held in limiter.table.limits.items()
         if held.wanted and is_limited(held, now)
     }
     if not wanted or not links:
         return
-    keeper.table.asked_at = now
-    for call in [call for call, at in keeper.asked_at.items() if now - at >= GRANT_TTL_SECONDS]:
-        del keeper.asked_at[call]
+    limiter.table.asked_at = now
+    for call in [
+        call for call, at in limiter.requested_at.items() if now - at >= GRANT_TTL_SECONDS
+    ]:
+        del limiter.requested_at[call]
     counts = {upstream: grants_to_ask(held) for upstream, held in wanted.items()}
     limits = {upstream: to_reported(held.limit, now) for upstream, held in wanted.items()}
-    turn = keeper.calls
+    turn = limiter.last_call
     for number, link in enumerate(links):
         shares = {
             upstream: share
@@ -243,14 +248,14 @@
             if (share := share_of(count, (number + turn) % len(links), len(links)))
         }
         if shares:
-            keeper.calls += 1
-            keeper.asked_at[keeper.calls] = now
+            limiter.last_call += 1
+            limiter.requested_at[limiter.last_call] = now
             asked = {upstream: limits[upstream] for upstream in shares}
-            link.post(GrantRequest(call=keeper.calls, counts=shares, limits=asked))
+            link.post(GrantRequest(call=limiter.last_call, counts=shares, limits=asked))
 
 
-def _log_sent(keeper: LimitKeeper) -> None:
-    for upstream, held in keeper.table.limits.items():
+def _log_sent(limiter: RateLimiter) -> None:
+    for upstream, held in limiter.table.limits.items():
         if held.sent or held.lent:
             logger.info(
                 "sent under a limit",
@@ -264,8 +269,8 @@
         held.sent = held.lent = 0
 
 
-def _forget_over(keeper: LimitKeeper, now: float) -> None:
-    limits = keeper.table.limits
+def _drop_expired(limiter: RateLimiter, now: float) -> None:
+    limits = limiter.table.limits
     for upstream in [name for name, held in limits.items() if is_expired(held.limit, now)]:
         del limits[upstream]
-        keeper.attach(upstream, None)
+        limiter.attach(upstream, None)
--- a/src/ledgeladder/daemons/peers.py
+++ b/src/ledgeladder/daemons/peers.py
@@ -1,8 +1,8 @@
-"""Links to control boxes, of which only a few seeds are known at the start.
+"""Links to control boxes, which are discovered from a few seeds.
 
-Control boxes tell of each other. Which of them a process keeps links to is decided in
-`coordination/link_choice.py`: a control box all, an entry box a few, or all while those few do not
-keep it up to date.
+Control boxes announce each other. `coordination/link_choice.py` chooses the links: a control box
+links to all others; an entry box links to a few, or to all while those few do not keep it up to
+date.
 """
 
 from __future__ import annotations
@@ -31,34 +31,35 @@
 
 logger = logging.getLogger(__name__)
 
-PEERS_LIMIT: Final = 64
-"""Control boxes that are remembered; eight are set aside at most, and some are replaced."""
+MAX_PEERS: Final = 64
+"""Maximum number of known control boxes. A cluster has at most eight; the rest is room for replaced
+ones."""
 
-FORGET_SECONDS: Final = 60.0
-"""How long a control box that cannot be reached is tried; it may be gone for good."""
+UNREACHABLE_EXPIRY_SECONDS: Final = 60.0
+"""How long an unreachable control box is tried, since it may have been removed."""
 
-SILENCE_SECONDS: Final = 3.0
-"""A link on which nothing arrives for this long is given up. Entry boxes ask, and are answered,
-once a second; control boxes tell each other ages or hints once a second."""
+LINK_INACTIVITY_SECONDS: Final = 3.0
+"""A link on which nothing arrives for this long is closed. Entry boxes poll once a second, and
+control boxes send each other ages or hints once a second."""
 
-LOOK_SECONDS: Final = 0.5
-"""How often the choice of links is looked at again."""
+CHECK_INTERVAL_SECONDS: Final = 0.5
+"""Interval at which the choice of links is updated."""
 
-START_SECONDS: Final = 1.0
-"""How long a link may take to come up before another one is opened beside it: a connection and a
-handshake, with room for one lost packet."""
+CONNECT_GRACE_SECONDS: Final = 1.0
+"""How long a link may take to be established before another one is opened in parallel: a connection
+and a handshake, with room for one lost packet."""
 
 ServeLink = Callable[[str, "Link"], Awaitable[None]]
-"""Serves the link to one control box until it ends."""
+"""Serves the link to one control box until it closes."""
 
 
 def own_identity(box: DiscoveredBox, cluster: DiscoveredCluster, role: PeerRole) -> LinkIdentity:
-    """Return how a process presents itself on its links; each run has a random name.
+    """Return the identity of a process on its links, with a random instance name.
 
     Args:
-        box: Where it runs.
-        cluster: What it belongs to.
-        role: What it is.
+        box: Box on which the process runs.
+        cluster: Cluster of the box.
+        role: Role of the process.
     """
     return LinkIdentity(
         cluster=cluster.name,
@@ -72,13 +73,13 @@
 
 
 class Peers(msgspec.Struct, kw_only=True):
-    """Control boxes that are known, and the links to them."""
+    """Known control boxes, and the links to them."""
 
     identity: LinkIdentity
-    """How this process presents itself."""
+    """Identity of this process on its links."""
 
     own_address: str
-    """IP number of this box, to which no link is kept."""
+    """IP address of this box, to which no link is opened."""
 
     link_port: int
     """Port for links on every box."""
@@ -87,37 +88,37 @@
     """Serves each link."""
 
     known: dict[str, float] = msgspec.field(default_factory=dict)
-    """IP numbers of control boxes, with the time at which each was last up, or first named if it
-    has not been up yet, on the monotonic clock."""
+    """When the link to each control box was last up, or when the box was added if it never was, on
+    the monotonic clock, by IP address."""
 
     links: dict[str, Link] = msgspec.field(default_factory=dict)
-    """Links that are up, by IP number."""
+    """Established links by IP address."""
 
-    limit: int | None = None
-    """How many links are wanted; None for one to each known control box."""
+    max_links: int | None = None
+    """Maximum number of links; None for a link to each known control box."""
 
     is_stale: Callable[[], bool] = lambda: False
-    """Tells whether the links that are up do not keep this process up to date, so that all known
-    control boxes are to be tried."""
+    """Returns whether the established links fail to keep this process up to date. All known control
+    boxes are then tried."""
 
     domains: dict[str, str] = msgspec.field(default_factory=dict)
-    """Failure domains of control boxes by IP number, as far as they were told."""
+    """Failure domains of control boxes by IP address, where known."""
 
     scopes: dict[str, anyio.CancelScope] = msgspec.field(default_factory=dict)
-    """Ends the task that keeps a link, by IP number."""
+    """Cancel scopes of the tasks that maintain the links, by IP address."""
 
-    started: dict[str, float] = msgspec.field(default_factory=dict)
+    started_at: dict[str, float] = msgspec.field(default_factory=dict)
     """When each of those tasks was started, on the monotonic clock."""
 
     ranked: list[str] = msgspec.field(default_factory=list)
-    """IP numbers of known control boxes, the preferred ones first."""
+    """IP addresses of known control boxes, in order of preference."""
 
     tasks: TaskGroup | None = None
-    """Runs one task for each link; None before the links are run."""
+    """Runs one task for each link; None until `run_peers` starts."""
 
 
 def seed_addresses(seeds: Iterable[str]) -> list[str]:
-    """Return the IP numbers of seeds.
+    """Return the IP addresses of seeds.
 
     >>> seed_addresses(["10.0.0.1:80"])
     ['10.0.0.1']
@@ -128,13 +129,13 @@
 def add_peers(
     peers: Peers, addresses: Iterable[str], domains: Mapping[str, str] | None = None
 ) -> None:
-    """Take in control boxes, and open links to those of them that are wanted.
+    """Add control boxes, and open links to the chosen ones.
 
     Args:
         peers: The links.
-        addresses: IP numbers of control boxes. The own one is passed over, and so are those beyond
-            `PEERS_LIMIT`. Before the links are run, all are.
-        domains: Failure domains of control boxes by IP number, as far as they are known.
+        addresses: IP addresses of control boxes. The own one and those beyond `MAX_PEERS` are
+            ignored, and all of them until `run_peers` starts.
+        domains: Failure domains of control boxes by IP address, where known.
     """
     peers.domains.update(domains or {})
     if peers.tasks is None:
@@ -142,23 +143,23 @@
     for address in addresses:
         if address == peers.own_address or address in peers.known:
             continue
-        if len(peers.known) >= PEERS_LIMIT:
+        if len(peers.known) >= MAX_PEERS:
             break
         peers.known[address] = anyio.current_time()
-    _balance(peers)
+    _update_links(peers)
 
 
-def _balance(peers: Peers) -> None:
-    """Open the links that are wanted, and close the others once enough are up."""
+def _update_links(peers: Peers) -> None:
+    """Open links to the chosen boxes, and close the others once enough are established."""
     if peers.tasks is None:
         return
     now = anyio.current_time()
-    limit = len(peers.known) if peers.limit is None or peers.is_stale() else peers.limit
+    limit = len(peers.known) if peers.max_links is None or peers.is_stale() else peers.max_links
 
     def is_available(address: str) -> bool:
         if address in peers.links or address not in peers.scopes:
             return True
-        return now - peers.started[address] < START_SECONDS
+        return now - peers.started_at[address] < CONNECT_GRACE_SECONDS
 
     peers.ranked = rank_controls(
         peers.known,
@@ -171,26 +172,26 @@
     for address in chosen:
         if address not in peers.scopes:
             peers.scopes[address] = anyio.CancelScope()
-            peers.started[address] = now
-            peers.tasks.start_soon(_keep, peers, address)
+            peers.started_at[address] = now
+            peers.tasks.start_soon(_maintain_link, peers, address)
     if sum(address in peers.links for address in chosen) >= limit:
         for address in [item for item in peers.scopes if item not in chosen]:
             peers.scopes[address].cancel()
 
 
 def primary_of(peers: Peers) -> str | None:
-    """Return the IP number of the control box that is told what only one of them needs to be told.
+    """Return the IP address of the control box that receives reports which only one of them needs.
 
-    It is the preferred one of those whose links are up; None if none is.
+    It is the most preferred one with an established link; None if there is none.
     """
     return next((address for address in peers.ranked if address in peers.links), None)
 
 
-async def _keep(peers: Peers, address: str) -> None:
-    """Keep the link to one control box up until it is not wanted any more.
+async def _maintain_link(peers: Peers, address: str) -> None:
+    """Maintain the link to one control box until its scope is cancelled.
 
-    Its scope is cancelled when enough preferred links are up, or when the box has been out of reach
-    for too long.
+    This happens once enough preferred links are established, or when the box was unreachable for
+    too long.
     """
 
     async def serve(link: Link) -> None:
@@ -203,7 +204,7 @@
                 del peers.links[address]
             peers.known[address] = anyio.current_time()
             if peers.scopes[address].cancel_called:
-                logger.info("link not needed any more", extra={"peer": address})
+                logger.info("link closed, no longer needed", extra={"peer": address})
             else:
                 logger.warning("dependency lost", extra={"peer": address})
 
@@ -211,43 +212,43 @@
     try:
         with scope:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(_forget_when_silent, peers, address)
+                tasks.start_soon(_expire_unreachable, peers, address)
                 await keep_link(
                     f"{address}:{peers.link_port}", peers.identity, serve, rng=random.Random()
                 )
     finally:
         if peers.scopes.get(address) is scope:
             del peers.scopes[address]
-            del peers.started[address]
+            del peers.started_at[address]
 
 
-async def _forget_when_silent(peers: Peers, address: str) -> None:
-    """Forget a control box that has had no link for `FORGET_SECONDS`, and end its task."""
+async def _expire_unreachable(peers: Peers, address: str) -> None:
+    """Remove a control box without a link for `UNREACHABLE_EXPIRY_SECONDS`, and cancel its task."""
     while True:
-        await anyio.sleep(FORGET_SECONDS / 4)
+        await anyio.sleep(UNREACHABLE_EXPIRY_SECONDS / 4)
         if address in peers.links:
             peers.known[address] = anyio.current_time()
-        elif anyio.current_time() - peers.known[address] > FORGET_SECONDS:
+        elif anyio.current_time() - peers.known[address] > UNREACHABLE_EXPIRY_SECONDS:
             del peers.known[address]
-            logger.info("control box forgotten", extra={"peer": address})
+            logger.info("unreachable control box removed", extra={"peer": address})
             peers.scopes[address].cancel()
 
 
 async def run_peers(peers: Peers, seeds: SeedList) -> None:
-    """Keep the wanted links up until cancelled.
+    """Maintain the chosen links until cancelled.
 
     Args:
         peers: The links.
-        seeds: Seeds that are in the settings now; tried for as long as no link is up.
+        seeds: Seeds in the current settings, which are tried while no link is established.
     """
-    # A restart of this task begins anew: the tasks that kept the links ended with the one before.
+    # After a restart of this task, the tasks that maintained the links no longer run.
     peers.known.clear()
     peers.scopes.clear()
-    peers.started.clear()
+    peers.started_at.clear()
     async with anyio.create_task_group() as tasks:
         peers.tasks = tasks
         while True:
             if not peers.links:
                 add_peers(peers, seed_addresses(seeds.seeds))
-            _balance(peers)
-            await anyio.sleep(LOOK_SECONDS)
+            _update_links(peers)
+            await anyio.sleep(CHECK_INTERVAL_SECONDS)
--- a/src/ledgeladder/daemons/rate_lender.py
+++ b/src/ledgeladder/daemons/rate_lender.py
@@ -1,6 +1,7 @@
-"""A control box's part in limits of upstreams: telling of them, and lending requests.
+"""Rate grants of a control box, for upstreams that advertise a rate limit.
 
-Both kinds of control processes use this, each with its own links.
+The box merges the limits that entry boxes report, broadcasts them, and grants requests out of its
+part of each rate. Both kinds of control processes use this module, each with its own links.
 """
 
 from __future__ import annotations
@@ -30,132 +31,144 @@
 
 logger = logging.getLogger(__name__)
 
-TELL_SECONDS: Final = 1.0
-"""How often all are told of all limits, so that lost news and boxes that have just started cost no
-more than that."""
+BROADCAST_INTERVAL_SECONDS: Final = 1.0
+"""Interval at which all limits are broadcast. Bounds the delay after a lost update, and for boxes
+that have just started."""
 
-NEWS_SECONDS: Final = 0.1
-"""Least time between two rounds of news beside that. Each goes to every entry box, and an upstream
-may name another figure in each answer."""
+MIN_UPDATE_INTERVAL_SECONDS: Final = 0.1
+"""Minimum interval between further updates. Each goes to every entry box, and an upstream may
+advertise another rate in each response."""
 
 
-class RateLender(msgspec.Struct, kw_only=True):
-    """What one control box knows of limits, and what it lends."""
+class RateGranter(msgspec.Struct, kw_only=True):
+    """Rate limits that one control box knows, and its grants."""
 
     parts: Callable[[], int]
-    """Returns how many control boxes lend at most, this one included."""
+    """Returns the maximum number of granting control boxes, including this one."""
 
-    may_lend: Callable[[], bool]
-    """Tells whether this box is one of them for certain."""
+    may_grant: Callable[[], bool]
+    """Returns whether this box is certain to be one of them."""
 
-    tell_entries: Callable[[LinkMessage], None]
-    """Tells the entry boxes that follow this box."""
+    broadcast_to_entries: Callable[[LinkMessage], None]
+    """Sends a message to the entry boxes that follow this box."""
 
-    tell_peers: Callable[[LinkMessage], None]
-    """Tells the other control boxes."""
+    broadcast_to_peers: Callable[[LinkMessage], None]
+    """Sends a message to the other control boxes."""
 
-    books: dict[str, RateLedger] = msgspec.field(default_factory=dict)
-    """What it lends, by run of the upstream."""
+    ledgers: dict[str, RateLedger] = msgspec.field(default_factory=dict)
+    """Token buckets by instance of the upstream."""
 
-    told_at: float = float("-inf")
-    """When others were last told at once, on the monotonic clock."""
+    last_broadcast_at: float = float("-inf")
+    """When an update was last broadcast outside that interval, on the monotonic clock."""
 
 
-def take_limits(lender: RateLender, limits: Mapping[str, ReportedLimit], *, to_peers: bool) -> None:
-    """Take in what another box knows of limits, and tell others what is news.
+def apply_limits(
+    granter: RateGranter, limits: Mapping[str, ReportedLimit], *, to_peers: bool
+) -> None:
+    """Merge limits that another box reports, and broadcast those that changed.
 
     Args:
-        lender: What this box knows.
-        limits: What it was told, by run of the upstream.
-        to_peers: True if an entry box told it, so that the other control boxes must be told.
+        granter: The granter.
+        limits: Reported limits by instance of the upstream.
+        to_peers: Whether to broadcast to the other control boxes too. True if they came from an
+            entry box.
     """
     now = anyio.current_time()
-    news = [instance for instance, told in limits.items() if _take(lender, instance, told, now)]
-    if not news or now - lender.told_at < NEWS_SECONDS:
+    updated = [
+        instance
+        for instance, reported in limits.items()
+        if _apply_limit(granter, instance, reported, now)
+    ]
+    if not updated or now - granter.last_broadcast_at < MIN_UPDATE_INTERVAL_SECONDS:
         return
-    lender.told_at = now
-    message = _news(lender, news, now)
-    lender.tell_entries(message)
+    granter.last_broadcast_at = now
+    message = _build_update(granter, updated, now)
+    granter.broadcast_to_entries(message)
     if to_peers:
-        lender.tell_peers(message)
+        granter.broadcast_to_peers(message)
 
 
-def _take(lender: RateLender, instance: str, told: ReportedLimit, now: float) -> bool:
-    """Take in one limit; returns True if it says something new."""
-    book = lender.books.get(instance)
-    if book is not None:
-        changed = merge_reported(book.limit, told, now)
-        limit = book.limit
+def _apply_limit(granter: RateGranter, instance: str, reported: ReportedLimit, now: float) -> bool:
+    """Merge one limit, and return True if it changed."""
+    ledger = granter.ledgers.get(instance)
+    if ledger is not None:
+        changed = merge_reported(ledger.limit, reported, now)
+        limit = ledger.limit
     else:
-        limit = from_reported(told, now)
+        limit = from_reported(reported, now)
         if is_expired(limit, now):
             return False
-        lender.books[instance] = RateLedger(limit=limit, refilled_at=now)
+        granter.ledgers[instance] = RateLedger(limit=limit, refilled_at=now)
         changed = True
     if changed:
         logger.info(
-            "limit of an upstream",
+            "upstream rate limit changed",
             extra={"upstream": instance, "rate": limit.rate, "named": limit.is_advertised},
         )
     return changed
 
 
-def _news(lender: RateLender, instances: list[str], now: float) -> RateLimitNews:
+def _build_update(granter: RateGranter, instances: list[str], now: float) -> RateLimitNews:
     return RateLimitNews(
-        limits={instance: to_reported(lender.books[instance].limit, now) for instance in instances}
+        limits={
+            instance: to_reported(granter.ledgers[instance].limit, now) for instance in instances
+        }
     )
 
 
-def answer_grants(lender: RateLender, link: Link, request: GrantRequest) -> None:
-    """Lend requests to an entry box out of the part of this box."""
-    take_limits(lender, request.limits, to_peers=True)
+def handle_grant_request(granter: RateGranter, link: Link, request: GrantRequest) -> None:
+    """Grant requests to an entry box out of this box's part of each rate."""
+    apply_limits(granter, request.limits, to_peers=True)
     now = anyio.current_time()
     grants: dict[str, Grant] = {}
-    if _is_lending(lender):
+    if _is_granting(granter):
         for instance, wanted in request.counts.items():
-            book = lender.books.get(instance)
-            if book is None:
+            ledger = granter.ledgers.get(instance)
+            if ledger is None:
                 continue
-            record_requester(book, link.peer_box, now)
-            count = grant_requests(book, wanted, lender.parts(), now)
-            wait = mean_wait(book, now)
-            grants[instance] = Grant(count=count, wait=wait, limit=to_reported(book.limit, now))
+            record_requester(ledger, link.peer_box, now)
+            count = grant_requests(ledger, wanted, granter.parts(), now)
+            wait = mean_wait(ledger, now)
+            grants[instance] = Grant(count=count, wait=wait, limit=to_reported(ledger.limit, now))
     link.post(GrantReply(call=request.call, grants=grants))
 
 
-def note_own_calls(lender: RateLender, instance: str, count: int) -> None:
-    """Count calls of this box to an upstream, which take the place of requests of others."""
-    book = lender.books.get(instance)
-    if book is not None:
-        charge_own_requests(book, count, lender.parts(), anyio.current_time())
+def record_own_calls(granter: RateGranter, instance: str, count: int) -> None:
+    """Charge calls of this box to an upstream, which reduce the grants to others."""
+    ledger = granter.ledgers.get(instance)
+    if ledger is not None:
+        charge_own_requests(ledger, count, granter.parts(), anyio.current_time())
 
 
-def _is_lending(lender: RateLender) -> bool:
-    """Tell whether this box lends; one that does not has nothing saved when it begins to."""
-    if lender.may_lend():
+def _is_granting(granter: RateGranter) -> bool:
+    """Return whether this box grants requests, and empty its buckets if it does not.
+
+    A box thus starts with empty buckets when it begins to grant.
+    """
+    if granter.may_grant():
         return True
     now = anyio.current_time()
-    for book in lender.books.values():
-        book.tokens, book.refilled_at = min(book.tokens, 0.0), now
+    for ledger in granter.ledgers.values():
+        ledger.tokens, ledger.refilled_at = min(ledger.tokens, 0.0), now
     return False
 
 
-async def keep_telling_limits(lender: RateLender) -> None:
-    """Tell all boxes all limits once a second while there are any, for ever."""
+async def run_limit_broadcasts(granter: RateGranter) -> None:
+    """Broadcast all limits periodically while there are any; runs until cancelled."""
     while True:
-        await anyio.sleep(TELL_SECONDS)
-        _is_lending(lender)
+        await anyio.sleep(BROADCAST_INTERVAL_SECONDS)
+        _is_granting(granter)
         now = anyio.current_time()
         for instance in [
-            name for name, book in lender.books.items() if is_expired(book.limit, now)
+            name for name, ledger in granter.ledgers.items() if is_expired(ledger.limit, now)
         ]:
-            del lender.books[instance]
-        if lender.books:
-            news = limit_news(lender)
-            lender.tell_entries(news)
-            lender.tell_peers(news)
+            del granter.ledgers[instance]
+        if granter.ledgers:
+            update = limit_update(granter)
+            granter.broadcast_to_entries(update)
+            granter.broadcast_to_peers(update)
 
 
-def limit_news(lender: RateLender) -> RateLimitNews:
-    """Return the news of all limits, for a box that has just connected."""
-    return _news(lender, list(lender.books), anyio.current_time())
+def limit_update(granter: RateGranter) -> RateLimitNews:
+    """Return all limits as a message, for a box that has just connected."""
+    return _build_update(granter, list(granter.ledgers), anyio.current_time())
--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -20,13 +20,13 @@
 from ...platform.configuration import decode_configuration
 from ...settings import load_registry_settings
 from ...storage import StorageError, box_of, create_identity, member_id, read_identity
-from ..content_judge import keep_judging, tell_quarantine
+from ..content_judge import broadcast_quarantine, run_quarantine_controller
 from ..control.handover import start_any_handover
 from ..control.node import ControlNode, open_node, run_log
 from ..log_child import log_child
 from ..metrics_page import metrics_child
 from ..peers import Peers, own_identity, run_peers, seed_addresses
-from ..rate_lender import keep_telling_limits
+from ..rate_lender import run_limit_broadcasts
 from ..reloading import SeedList, reload_seeds
 from ..signals import on_stop_signal
 from ..supervisor import Child, Restart, supervise
@@ -170,7 +170,7 @@
     while True:
         await state.published_changed.wait()
         state.published_changed = anyio.Event()
-        tell_quarantine(quarantine_controller_of(state))
+        broadcast_quarantine(quarantine_controller_of(state))
         apply_published(state)
 
 
@@ -234,12 +234,12 @@
         Child(name="publishing", run=lambda: watch_published(state), restart=Restart.ALWAYS),
         Child(
             name="quarantine",
-            run=lambda: keep_judging(quarantine_controller_of(state)),
+            run=lambda: run_quarantine_controller(quarantine_controller_of(state)),
             restart=Restart.ALWAYS,
         ),
         Child(
             name="limits",
-            run=lambda: keep_telling_limits(rate_granter_of(state)),
+            run=lambda: run_limit_broadcasts(rate_granter_of(state)),
             restart=Restart.ALWAYS,
         ),
         Child(name="placing", run=lambda: run_placement(state), restart=Restart.ALWAYS),
--- a/src/ledgeladder/daemons/registry/order_sending.py
+++ b/src/ledgeladder/daemons/registry/order_sending.py
@@ -16,7 +16,7 @@
 from ...platform.engine_calls import place_call, read_outcome
 from .. import clock
 from ..engine_call import fetch_report, send_call
-from ..rate_lender import note_own_calls
+from ..rate_lender import record_own_calls
 from .state import rate_granter_of
 
 if TYPE_CHECKING:
@@ -83,7 +83,7 @@
     """
     if is_backing_off(state.backoffs, engine.instance, clock.now()):
         return OrderOutcome.BACKING_OFF
-    note_own_calls(rate_granter_of(state), engine.instance, REQUESTS_PER_ORDER)
+    record_own_calls(rate_granter_of(state), engine.instance, REQUESTS_PER_ORDER)
     try:
         return await _send_order(state, engine, holding, fence)
     except RestAskedError as error:
--- a/src/ledgeladder/daemons/registry/peer_links.py
+++ b/src/ledgeladder/daemons/registry/peer_links.py
@@ -48,9 +48,9 @@
 )
 from ...storage import box_of
 from .. import clock
-from ..content_judge import quarantine_news, take_crash_report, take_served
-from ..peers import SILENCE_SECONDS, add_peers
-from ..rate_lender import answer_grants, limit_news, take_limits
+from ..content_judge import handle_content_served, handle_crash_report, quarantine_update
+from ..peers import LINK_INACTIVITY_SECONDS, add_peers
+from ..rate_lender import apply_limits, handle_grant_request, limit_update
 from .broadcasts import broadcast_registration, build_peer_hint
 from .published_version import (
     handle_command_reply,
@@ -99,7 +99,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_request_membership, state, link)
         while True:
-            with anyio.fail_after(SILENCE_SECONDS):
+            with anyio.fail_after(LINK_INACTIVITY_SECONDS):
                 message = await link.receive()
             match message:
                 case VersionReply():
@@ -138,13 +138,13 @@
         state.entry_links[id(link)] = link
         link.post(RegistrationNews(told=list_liveness(state.table, anyio.current_time())))
         link.post(OrderOfUpstreams(order=state.upstream_index))
-        link.post(quarantine_news(quarantine_controller_of(state)))
-        link.post(limit_news(rate_granter_of(state)))
+        link.post(quarantine_update(quarantine_controller_of(state)))
+        link.post(limit_update(rate_granter_of(state)))
     link.post(build_peer_hint(state))
     async with anyio.create_task_group() as tasks:
         try:
             while True:
-                with anyio.fail_after(SILENCE_SECONDS):
+                with anyio.fail_after(LINK_INACTIVITY_SECONDS):
                     message = await link.receive()
                 _handle_message(state, tasks, link, message, is_control=is_control)
         finally:
@@ -203,13 +203,13 @@
         case LoanRequest():
             handle_quota_request(state, link, message)
         case RateLimitNews():
-            take_limits(rate_granter_of(state), message.limits, to_peers=not is_control)
+            apply_limits(rate_granter_of(state), message.limits, to_peers=not is_control)
         case GrantRequest():
-            answer_grants(rate_granter_of(state), link, message)
+            handle_grant_request(rate_granter_of(state), link, message)
         case CrashReport():
-            take_crash_report(quarantine_controller_of(state), message, to_peers=not is_control)
+            handle_crash_report(quarantine_controller_of(state), message, to_peers=not is_control)
         case ContentServed():
-            take_served(quarantine_controller_of(state), message, to_peers=not is_control)
+            handle_content_served(quarantine_controller_of(state), message, to_peers=not is_control)
         case LostReport():
             _handle_lost_report(state, link, message.instance)
         case VersionQuery():
--- a/src/ledgeladder/daemons/registry/quota_grants.py
+++ b/src/ledgeladder/daemons/registry/quota_grants.py
@@ -12,7 +12,7 @@
 from ...links.messages import LoanReply
 from ...routing.repeat_loans import FLOOR_SHARE, LoanBook, lend
 from ...routing.repeat_window import SHARE_USED
-from ..rate_lender import RateLender
+from ..rate_lender import RateGranter
 from .published_version import version_age
 
 if TYPE_CHECKING:
@@ -45,13 +45,13 @@
     return max(voters, len(state.node.replica.log.members.voters))
 
 
-def build_rate_granter(state: RegistryState) -> RateLender:
+def build_rate_granter(state: RegistryState) -> RateGranter:
     """Return what lends requests with the links of a registry."""
-    return RateLender(
+    return RateGranter(
         parts=lambda: count_granting_voters(state),
-        may_lend=lambda: may_grant(state),
-        tell_entries=lambda message: post_to_all(state.entry_links.values(), message),
-        tell_peers=lambda message: post_to_all(state.peers.links.values(), message),
+        may_grant=lambda: may_grant(state),
+        broadcast_to_entries=lambda message: post_to_all(state.entry_links.values(), message),
+        broadcast_to_peers=lambda message: post_to_all(state.peers.links.values(), message),
     )
 
 
--- a/src/ledgeladder/daemons/registry/state.py
+++ b/src/ledgeladder/daemons/registry/state.py
@@ -14,8 +14,8 @@
 from ...coordination.rests import Backoffs
 from ...coordination.upstream_order import UpstreamIndex
 from ...model.registration import Liveness
-from ..content_judge import ContentJudge
-from ..rate_lender import RateLender
+from ..content_judge import QuarantineController
+from ..rate_lender import RateGranter
 
 if TYPE_CHECKING:
     from ...coordination.upstream_order import LoadFigures
@@ -181,10 +181,10 @@
     sent_version: int = 0
     """Version of the document that was last sent to entry boxes."""
 
-    quarantine_controller: ContentJudge | None = None
+    quarantine_controller: QuarantineController | None = None
     """What it knows of contents under which upstreams end; None before the state is built."""
 
-    rate_granter: RateLender | None = None
+    rate_granter: RateGranter | None = None
     """Limits that upstreams name, and what it lends of them; None before the state is built."""
 
     stopping: bool = False
@@ -208,13 +208,13 @@
     return min((heard.get(address, never) for address in state.peers.known), default=float("inf"))
 
 
-def quarantine_controller_of(state: RegistryState) -> ContentJudge:
+def quarantine_controller_of(state: RegistryState) -> QuarantineController:
     """Return what a process knows of contents under which upstreams end."""
     assert state.quarantine_controller is not None
     return state.quarantine_controller
 
 
-def rate_granter_of(state: RegistryState) -> RateLender:
+def rate_granter_of(state: RegistryState) -> RateGranter:
     """Return what a process knows of limits that upstreams name."""
     assert state.rate_granter is not None
     return state.rate_granter
--- a/src/ledgeladder/daemons/registry/upstream_exits.py
+++ b/src/ledgeladder/daemons/registry/upstream_exits.py
@@ -9,20 +9,20 @@
 from ...coordination.loss_evidence import is_presumed_lost
 from ...coordination.registrations import superseded_instances
 from ...links import post_to_all
-from ..content_judge import ContentJudge
+from ..content_judge import QuarantineController
 from .state import controls_last_seen
 
 if TYPE_CHECKING:
     from .state import RegistryState
 
 
-def build_quarantine_controller(state: RegistryState) -> ContentJudge:
+def build_quarantine_controller(state: RegistryState) -> QuarantineController:
     """Return what judges contents with the links of a registry process."""
-    return ContentJudge(
+    return QuarantineController(
         node=state.node,
-        tell_entries=lambda message: post_to_all(state.entry_links.values(), message),
-        tell_peers=lambda message: post_to_all(state.peers.links.values(), message),
-        has_ended=lambda instance: has_exited(state, instance),
+        broadcast_to_entries=lambda message: post_to_all(state.entry_links.values(), message),
+        broadcast_to_peers=lambda message: post_to_all(state.peers.links.values(), message),
+        has_exited=lambda instance: has_exited(state, instance),
     )
 
 
--- a/tests/daemons/gateway/test_rate_limits.py
+++ b/tests/daemons/gateway/test_rate_limits.py
@@ -14,7 +14,7 @@
 from ledgeladder.daemons.gateway.backpressure import handle_backpressure, request_grants
 from ledgeladder.daemons.gateway.state import GatewayState, limit_keeper_of
 from ledgeladder.daemons.gateway.upstream_call import BackpressureError, open_answer
-from ledgeladder.daemons.limit_keeper import keep_limits, take_grant_reply, take_limits
+from ledgeladder.daemons.limit_keeper import apply_limits, handle_grant_reply, run_rate_limiter
 from ledgeladder.links.frames import LENGTH, decode_payload
 from ledgeladder.links.messages import Grant, GrantReply, GrantRequest, RateLimitNews
 from ledgeladder.platform.exchange import read_answer_facts
@@ -127,11 +127,11 @@
 def test_update_of_a_control_box_limits_an_upstream_that_registers_later() -> None:
     async def play() -> None:
         state, _upstream, _boxes = linked()
-        take_limits(limit_keeper_of(state), {"i-9": NAMED})
+        apply_limits(limit_keeper_of(state), {"i-9": NAMED})
         known = put_registration(state.table, engine("i-9", "127.0.0.1:9").registration, 0.0)
         assert known is not None
         assert not takes_work(known, anyio.current_time())
-        take_limits(
+        apply_limits(
             limit_keeper_of(state),
             {"i-9": ReportedLimit(rate=2.0, advertised_age=9.0, withdrawn_age=0.0)},
         )
@@ -143,13 +143,13 @@
 
 async def run_keeper(state: GatewayState, seconds: float) -> None:
     with anyio.move_on_after(seconds):
-        await keep_limits(limit_keeper_of(state))
+        await run_rate_limiter(limit_keeper_of(state))
 
 
 def test_box_reports_limits_and_requests_grants_once_a_second(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(limit_keeper, "NEWS_SECONDS", 0.001)
+    monkeypatch.setattr(limit_keeper, "MIN_UPDATE_INTERVAL_SECONDS", 0.001)
 
     async def play() -> None:
         state, upstream, boxes = linked()
@@ -174,12 +174,12 @@
         request_grants(state, "")
         await run_keeper(state, 0.05)
         call = next(request.call for box in boxes for request in box.requests)
-        take_grant_reply(limit_keeper_of(state), reply(call, 1))
+        handle_grant_reply(limit_keeper_of(state), reply(call, 1))
         assert takes_work(upstream, anyio.current_time())
         assert not takes_work(upstream, state.table.limits.asked_at + GRANT_TTL_SECONDS)
         # A duplicate reply, or one to an unknown request, grants nothing.
-        take_grant_reply(limit_keeper_of(state), reply(call, 1))
-        take_grant_reply(limit_keeper_of(state), reply(99, 1))
+        handle_grant_reply(limit_keeper_of(state), reply(call, 1))
+        handle_grant_reply(limit_keeper_of(state), reply(99, 1))
         assert upstream.limit is not None
         assert len(upstream.limit.grants) <= 1
 
@@ -197,8 +197,8 @@
         request_grants(state, "")
         await run_keeper(state, 0.05)
         call = boxes[0].requests[0].call
-        limit_keeper_of(state).asked_at[call] -= GRANT_TTL_SECONDS
-        take_grant_reply(limit_keeper_of(state), reply(call, 1))
+        limit_keeper_of(state).requested_at[call] -= GRANT_TTL_SECONDS
+        handle_grant_reply(limit_keeper_of(state), reply(call, 1))
         assert not takes_work(upstream, anyio.current_time())
 
     anyio.run(play)
--- a/tests/daemons/registry/test_broadcasts.py
+++ b/tests/daemons/registry/test_broadcasts.py
@@ -12,7 +12,7 @@
 from ledgeladder.coordination.loss_evidence import LossEvidence
 from ledgeladder.coordination.registrations import RegistrationTable
 from ledgeladder.coordination.upstream_order import UpstreamIndex
-from ledgeladder.daemons.peers import SILENCE_SECONDS
+from ledgeladder.daemons.peers import LINK_INACTIVITY_SECONDS
 from ledgeladder.daemons.registry import broadcasts
 from ledgeladder.daemons.registry.state import PendingUpdates
 from ledgeladder.links.frames import FRAME_LIMIT, FrameBuffer
@@ -81,9 +81,9 @@
 
     anyio.run(run)
     end = ROUNDS * broadcasts.AGES_INTERVAL_SECONDS
-    assert longest_pause(opened.times(RegistrationAges), end) < SILENCE_SECONDS / 2
-    assert longest_pause(accepted.times(PeerHint), end) < SILENCE_SECONDS / 2
-    assert longest_pause(entry.times(RegistrationAges), end) < SILENCE_SECONDS / 2
+    assert longest_pause(opened.times(RegistrationAges), end) < LINK_INACTIVITY_SECONDS / 2
+    assert longest_pause(accepted.times(PeerHint), end) < LINK_INACTIVITY_SECONDS / 2
+    assert longest_pause(entry.times(RegistrationAges), end) < LINK_INACTIVITY_SECONDS / 2
     assert len(entry.times(PeerHint)) == 1 + int(
         (end - broadcasts.AGES_INTERVAL_SECONDS) / broadcasts.HINT_INTERVAL_SECONDS
     )
--- a/tests/daemons/test_content_judge.py
+++ b/tests/daemons/test_content_judge.py
@@ -1,4 +1,4 @@
-"""Merging what entry boxes saw, and putting contents in quarantine."""
+"""Merging crash reports of entry boxes, and quarantining request contents."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ledgeladder.coordination.quarantine import QUARANTINE_MS, Quarantine, add_fingerprint
 from ledgeladder.coordination.registrations import RegistrationTable, apply_registration
 from ledgeladder.daemons import content_judge
-from ledgeladder.daemons.content_judge import ContentJudge
+from ledgeladder.daemons.content_judge import QuarantineController
 from ledgeladder.daemons.registry.upstream_exits import has_exited
 from ledgeladder.links import post_to_all
 from ledgeladder.links.frames import FRAME_LIMIT, FrameBuffer
@@ -27,11 +27,11 @@
 )
 from ledgeladder.model.registration import Registration
 
-CONTENT = b"content"
+FINGERPRINT = b"content"
 
 
 class Recorder:
-    """A link that keeps what is posted on it."""
+    """A link that records the messages posted on it."""
 
     def __init__(self) -> None:
         self.posted: list[Any] = []
@@ -40,24 +40,24 @@
         self.posted += FrameBuffer(limit=FRAME_LIMIT).feed(frame)
 
 
-def judge_of(entries: Recorder, peers: Recorder, alive: set[str]) -> ContentJudge:
+def build_controller(entries: Recorder, peers: Recorder, alive: set[str]) -> QuarantineController:
     node: Any = SimpleNamespace(
         replica=SimpleNamespace(is_leader=True), state=SimpleNamespace(quarantine=Quarantine())
     )
-    return ContentJudge(
+    return QuarantineController(
         node=node,
-        tell_entries=lambda message: post_to_all([entries], message),  # type: ignore[list-item]
-        tell_peers=lambda message: post_to_all([peers], message),  # type: ignore[list-item]
-        has_ended=lambda instance: instance not in alive,
+        broadcast_to_entries=lambda message: post_to_all([entries], message),  # type: ignore[list-item]
+        broadcast_to_peers=lambda message: post_to_all([peers], message),  # type: ignore[list-item]
+        has_exited=lambda instance: instance not in alive,
     )
 
 
 def report(number: int) -> CrashReport:
-    return CrashReport(content=CONTENT, instance=f"i-{number}")
+    return CrashReport(content=FINGERPRINT, instance=f"i-{number}")
 
 
-def judge_now(judge: ContentJudge, monkeypatch: pytest.MonkeyPatch) -> list[bytes]:
-    """Let the leader judge; returns what it commits."""
+def evaluate(controller: QuarantineController, monkeypatch: pytest.MonkeyPatch) -> list[bytes]:
+    """Run one evaluation of the leader, and return the fingerprints that it quarantines."""
     committed: list[bytes] = []
 
     async def submit(_node: object, command: QuarantineCommand) -> Success[Acknowledgement]:
@@ -65,77 +65,80 @@
         return Success(Acknowledgement(accepted=True))
 
     monkeypatch.setattr(content_judge, "submit", submit)
-    anyio.run(content_judge.judge_contents, judge)
+    anyio.run(content_judge.quarantine_blamed, controller)
     return committed
 
 
-def take_ends(judge: ContentJudge, ends: int) -> None:
-    async def take() -> None:
-        for number in range(ends):
-            content_judge.take_crash_report(judge, report(number), to_peers=number == 0)
-            content_judge.take_crash_report(judge, report(number), to_peers=True)
+def report_crashes(controller: QuarantineController, crashes: int) -> None:
+    async def send() -> None:
+        for number in range(crashes):
+            content_judge.handle_crash_report(controller, report(number), to_peers=number == 0)
+            content_judge.handle_crash_report(controller, report(number), to_peers=True)
 
-    anyio.run(take)
+    anyio.run(send)
 
 
-def test_ends_under_requests_of_different_boxes_add_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The pattern: its caller comes again at other boxes, each of which sees one end."""
+def test_crash_reports_of_different_boxes_add_up(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A caller may retry at other boxes, each of which sees a single crash."""
     entries, peers = Recorder(), Recorder()
-    judge = judge_of(entries, peers, alive=set())
-    take_ends(judge, CRASH_LIMIT)
-    # What an entry box told is passed on once, and what is known already is not.
+    controller = build_controller(entries, peers, alive=set())
+    report_crashes(controller, CRASH_LIMIT)
+    # A report of an entry box is forwarded once, and known ones are not.
     assert peers.posted == [report(0)]
-    assert entries.posted == [SuspectNews(content=CONTENT, ends=ends) for ends in (2, 3)]
-    assert judge_now(judge, monkeypatch) == [CONTENT]
-    assert judge_now(judge, monkeypatch) == []
+    assert entries.posted == [SuspectNews(content=FINGERPRINT, ends=crashes) for crashes in (2, 3)]
+    assert evaluate(controller, monkeypatch) == [FINGERPRINT]
+    assert evaluate(controller, monkeypatch) == []
 
 
-def test_upstreams_that_have_not_ended_count_for_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The pattern: a box behind a cut that refuses connections takes all upstreams for ended."""
-    judge = judge_of(Recorder(), Recorder(), alive={"i-0"})
-    take_ends(judge, CRASH_LIMIT)
-    assert judge_now(judge, monkeypatch) == []
+def test_crashes_without_confirmed_exit_do_not_count(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A box behind a partition that refuses connections takes all upstreams for crashed."""
+    controller = build_controller(Recorder(), Recorder(), alive={"i-0"})
+    report_crashes(controller, CRASH_LIMIT)
+    assert evaluate(controller, monkeypatch) == []
 
 
-def test_answered_content_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_answered_content_is_cleared(monkeypatch: pytest.MonkeyPatch) -> None:
     peers = Recorder()
-    judge = judge_of(Recorder(), peers, alive=set())
-    take_ends(judge, CRASH_LIMIT)
-    content_judge.take_served(judge, ContentServed(content=CONTENT), to_peers=True)
-    assert peers.posted[-1] == ContentServed(content=CONTENT)
-    assert judge_now(judge, monkeypatch) == []
+    controller = build_controller(Recorder(), peers, alive=set())
+    report_crashes(controller, CRASH_LIMIT)
+    content_judge.handle_content_served(
+        controller, ContentServed(content=FINGERPRINT), to_peers=True
+    )
+    assert peers.posted[-1] == ContentServed(content=FINGERPRINT)
+    assert evaluate(controller, monkeypatch) == []
 
 
-def test_only_a_content_whose_time_is_not_over_counts_as_held(
+def test_only_unexpired_quarantine_prevents_another(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One that comes again after its hour is put aside again, and one that another leader put aside
-    is looked at no more."""
-    for age_ms, expected in ((QUARANTINE_MS + 1000, [CONTENT]), (1000, [])):
-        judge = judge_of(Recorder(), Recorder(), alive=set())
+    """A content is quarantined again after expiry, and not while another leader's entry lasts."""
+    for age_ms, expected in ((QUARANTINE_MS + 1000, [FINGERPRINT]), (1000, [])):
+        controller = build_controller(Recorder(), Recorder(), alive=set())
         add_fingerprint(
-            judge.node.state.quarantine, CONTENT, content_judge.wall_clock_ms() - age_ms
+            controller.node.state.quarantine,
+            FINGERPRINT,
+            content_judge.wall_clock_ms() - age_ms,
         )
-        take_ends(judge, CRASH_LIMIT)
-        assert judge_now(judge, monkeypatch) == expected
-        assert CONTENT not in judge.book.suspects
+        report_crashes(controller, CRASH_LIMIT)
+        assert evaluate(controller, monkeypatch) == expected
+        assert FINGERPRINT not in controller.crash_table.suspects
 
 
-def test_entry_boxes_are_told_of_each_new_content_once() -> None:
+def test_each_quarantined_content_is_broadcast_once() -> None:
     entries = Recorder()
-    judge = judge_of(entries, Recorder(), alive=set())
-    content_judge.tell_quarantine(judge)
+    controller = build_controller(entries, Recorder(), alive=set())
+    content_judge.broadcast_quarantine(controller)
     assert entries.posted == []
-    add_fingerprint(judge.node.state.quarantine, CONTENT, content_judge.wall_clock_ms())
-    content_judge.tell_quarantine(judge)
-    content_judge.tell_quarantine(judge)
-    (news,) = entries.posted
-    assert isinstance(news, QuarantineNews)
-    assert list(news.seconds_left) == [CONTENT]
+    add_fingerprint(controller.node.state.quarantine, FINGERPRINT, content_judge.wall_clock_ms())
+    content_judge.broadcast_quarantine(controller)
+    content_judge.broadcast_quarantine(controller)
+    (update,) = entries.posted
+    assert isinstance(update, QuarantineNews)
+    assert list(update.seconds_left) == [FINGERPRINT]
 
 
-def test_registry_takes_a_run_for_ended_once_it_is_sure() -> None:
-    """Heartbeats that go on say that it has not, whatever entry boxes found."""
+def test_registry_confirms_exit_only_with_evidence() -> None:
+    """An upstream that sends heartbeats has not exited, even if it was reported as crashed."""
     state: Any = SimpleNamespace(
         table=RegistrationTable(heartbeat=1.0),
         losses=LossEvidence(),
@@ -143,7 +146,7 @@
         accepted_control_links={},
     )
 
-    async def play() -> None:
+    async def run() -> None:
         now = anyio.current_time()
         alive = Registration(instance="i-0", sequence=1, address="10.0.0.9:1")
         apply_registration(state.table, alive, now)
@@ -156,4 +159,4 @@
         state.table.known["i-1"].last_seen_at = now - 10.0
         assert has_exited(state, "i-1")
 
-    anyio.run(play)
+    anyio.run(run)
--- a/tests/daemons/test_late_orders.py
+++ b/tests/daemons/test_late_orders.py
@@ -13,7 +13,7 @@
 from ledgeladder.coordination.engine_orders import OrderOutcome
 from ledgeladder.coordination.rests import Backoffs
 from ledgeladder.daemons.engine_call import fetch_report, send_call
-from ledgeladder.daemons.rate_lender import RateLender
+from ledgeladder.daemons.rate_lender import RateGranter
 from ledgeladder.daemons.registry import order_sending
 from ledgeladder.http1 import connect, serve_http1
 from ledgeladder.model.registration import Holding, Registration
@@ -49,11 +49,11 @@
         settings=SimpleNamespace(box=SimpleNamespace(address=LOCAL)),
         node=SimpleNamespace(replica=SimpleNamespace(term=term)),
         backoffs=Backoffs(),
-        rate_granter=RateLender(
+        rate_granter=RateGranter(
             parts=lambda: 1,
-            may_lend=lambda: True,
-            tell_entries=lambda _message: None,
-            tell_peers=lambda _message: None,
+            may_grant=lambda: True,
+            broadcast_to_entries=lambda _message: None,
+            broadcast_to_peers=lambda _message: None,
         ),
     )
 
--- a/tests/daemons/test_peers.py
+++ b/tests/daemons/test_peers.py
@@ -1,4 +1,4 @@
-"""Which links to control boxes are kept, and that they come back after a restart of their task."""
+"""Choice of links to control boxes, and their recovery after a restart of the task."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def make_peers(**options: Any) -> Peers:
-    """Links of the box of `IDENTITY`, each served for ever."""
+    """Return the peers of the box of `IDENTITY`, whose links are served until cancelled."""
     return Peers(
         identity=IDENTITY,
         own_address=IDENTITY.box,
@@ -39,7 +39,7 @@
 
 
 def test_restart_of_the_task_opens_the_links_again(monkeypatch) -> None:  # type: ignore[no-untyped-def]
-    """After any failure inside a link handler the process once never linked to anybody again."""
+    """Guards against a process that opens no links after a failure inside a link handler."""
     opened: list[str] = []
 
     async def keep_link(address: str, *arguments: object, **options: object) -> None:
@@ -60,7 +60,7 @@
 
 
 def entry_peers(monkeypatch, *, reachable: set[str], stale: bool = False) -> Peers:  # type: ignore[no-untyped-def]
-    """Peers of an entry box with three links, where some control boxes accept links."""
+    """Return the peers of an entry box with at most three links, of which some are reachable."""
 
     async def keep_link(address: str, identity: LinkIdentity, handler, **_: object) -> None:  # type: ignore[no-untyped-def]
         if address.split(":")[0] in reachable:
@@ -68,16 +68,16 @@
         await anyio.sleep_forever()
 
     monkeypatch.setattr(peers_module, "keep_link", keep_link)
-    monkeypatch.setattr(peers_module, "LOOK_SECONDS", 0.01)
-    monkeypatch.setattr(peers_module, "START_SECONDS", 0.02)
-    return make_peers(limit=3, is_stale=lambda: stale)
+    monkeypatch.setattr(peers_module, "CHECK_INTERVAL_SECONDS", 0.01)
+    monkeypatch.setattr(peers_module, "CONNECT_GRACE_SECONDS", 0.02)
+    return make_peers(max_links=3, is_stale=lambda: stale)
 
 
 CONTROLS = [f"10.0.1.{number}" for number in range(8)]
 
 
-def run_for_a_while(peers: Peers, seconds: float = 0.3) -> set[str]:
-    """Run the links until they have settled; returns those that are up then."""
+def run_until_settled(peers: Peers, seconds: float = 0.3) -> set[str]:
+    """Run the links until they have settled, and return the established ones."""
     up: set[str] = set()
 
     async def run() -> None:
@@ -94,21 +94,21 @@
     return up
 
 
-def test_few_links_are_kept_and_those_of_the_own_domain_preferred(monkeypatch) -> None:  # type: ignore[no-untyped-def]
+def test_links_are_limited_and_prefer_the_own_domain(monkeypatch) -> None:  # type: ignore[no-untyped-def]
     peers = entry_peers(monkeypatch, reachable=set(CONTROLS))
-    up = run_for_a_while(peers)
+    up = run_until_settled(peers)
     assert len(up) == 3
     assert set(CONTROLS[4:6]) <= up
-    assert primary_of(peers) is None  # After the end, none is up.
+    assert primary_of(peers) is None  # No link is established after cancellation.
 
 
-def test_links_out_of_reach_are_replaced(monkeypatch) -> None:  # type: ignore[no-untyped-def]
+def test_unreachable_links_are_replaced(monkeypatch) -> None:  # type: ignore[no-untyped-def]
     reachable = {CONTROLS[0], CONTROLS[4], CONTROLS[7]}
     peers = entry_peers(monkeypatch, reachable=reachable)
-    assert run_for_a_while(peers) == reachable
+    assert run_until_settled(peers) == reachable
 
 
-def test_all_links_are_tried_while_the_document_is_not_confirmed(monkeypatch) -> None:  # type: ignore[no-untyped-def]
-    """The few that are up may all be cut off from the leader."""
+def test_all_links_are_tried_while_stale(monkeypatch) -> None:  # type: ignore[no-untyped-def]
+    """The established links may all lead to boxes that are partitioned from the leader."""
     peers = entry_peers(monkeypatch, reachable=set(CONTROLS), stale=True)
-    assert run_for_a_while(peers) == set(CONTROLS)
+    assert run_until_settled(peers) == set(CONTROLS)
