--- a/src/ledgeladder/cli/config_commands.py
+++ b/src/ledgeladder/cli/config_commands.py
@@ -13,7 +13,7 @@
 from returns.result import Failure, Result, Success
 
 from ..model import Configuration, Problem, ResultCode, apply_objects, find_problems
-from ..routing.policy import try_policies
+from ..routing.policy import validate_policies
 from .change_file import read_change
 from .operator_client import OperatorClient, call
 
@@ -96,7 +96,7 @@
     problems = find_problems(configuration)
     if problems:
         return Failure(Problem(code=ResultCode.CHANGE_INVALID, detail="\n".join(problems)))
-    bad_policies = try_policies(configuration)
+    bad_policies = validate_policies(configuration)
     if bad_policies:
         detail = "\n".join(problem.detail for problem in bad_policies)
         return Failure(Problem(code=ResultCode.POLICY_INVALID, detail=detail))
--- a/src/ledgeladder/daemons/control/operator_api.py
+++ b/src/ledgeladder/daemons/control/operator_api.py
@@ -23,7 +23,7 @@
     find_problems,
 )
 from ...model.validation import check_model
-from ...routing.policy import try_policies
+from ...routing.policy import validate_policies
 from ..clock import wall_clock_ms
 from ..http import not_found, problem_response
 from .handover import start_any_handover
@@ -198,7 +198,7 @@
     inconsistent = find_problems(proposed)
     if inconsistent:
         return Problem(code=ResultCode.CHANGE_INVALID, detail="; ".join(inconsistent[:10]))
-    bad_policies = try_policies(proposed)
+    bad_policies = validate_policies(proposed)
     if bad_policies:
         detail = "; ".join(problem.detail for problem in bad_policies[:5])
         return Problem(code=ResultCode.POLICY_INVALID, detail=detail)
--- a/src/ledgeladder/daemons/entry/checks.py
+++ b/src/ledgeladder/daemons/entry/checks.py
@@ -14,7 +14,7 @@
 
 from ...model import ClientAccount, Pipeline, Problem, ProblemError, ResultCode
 from ...routing.admission import DEFAULT_RANK, Ticket, arrive, expected_wait, finish
-from ...routing.policy import Decision, RequestFacts, ask_policy
+from ...routing.policy import Decision, RequestFacts, evaluate_policy
 from ..clock import now
 from .metrics import record
 
@@ -183,7 +183,7 @@
         max_tokens=max_tokens,
         failure_domain=context.settings.box.failure_domain,
     )
-    outcome = ask_policy(policy, facts)
+    outcome = evaluate_policy(policy, facts)
     if isinstance(outcome, Failure):
         context.metrics.codes[ResultCode.POLICY_INVALID.name] += 1
         return Decision()
--- a/src/ledgeladder/routing/policy.py
+++ b/src/ledgeladder/routing/policy.py
@@ -1,4 +1,4 @@
-"""Policies: short Starlark programs that decide what may flow where.
+"""Policies: short Starlark programs that decide what may flow field.
 
 A policy defines `decide(request)`. It gets a dict with the keys of `RequestFacts` and returns a
 dict with any of the keys of `Decision`. The language has no clock, no files and no random numbers,
@@ -19,16 +19,16 @@
 
 from ..model import ClientAccount, Configuration, Problem, ResultCode
 
-CHECK_LIMIT: Final = 100
+MAX_CANCEL_CHECKS: Final = 100
 """Times that the interpreter may ask whether to go on; it asks about every 1,000 steps."""
 
-CALL_DEPTH_LIMIT: Final = 50
+MAX_CALL_DEPTH: Final = 50
 """Deepest nesting of calls."""
 
-SAMPLED_ACCOUNTS: Final = 20
+MAX_SAMPLE_ACCOUNTS: Final = 20
 """Client accounts that a policy is tried with before it is accepted."""
 
-_POSITION: Final = re.compile(r":(\d+):(\d+)")
+_POSITION_PATTERN: Final = re.compile(r":(\d+):(\d+)")
 
 
 class RequestFacts(msgspec.Struct, frozen=True, kw_only=True):
@@ -69,7 +69,7 @@
     """Failure domains whose upstreams may be used; None for all."""
 
     priority: str | None = None
-    """Priority to use in place of the account's."""
+    """Priority to use in location of the account's."""
 
     max_tokens: Annotated[int, Field(ge=1, strict=True)] | None = None
     """Upper bound on tokens."""
@@ -85,29 +85,29 @@
     """The frozen Starlark module."""
 
     decide_line: int
-    """Line on which `decide` is defined, named where a result is at fault."""
+    """Line on which `decide` is defined, named field a result is at fault."""
 
 
 _DECISION: Final = TypeAdapter(Decision)
 
 
-def _options() -> starlark.EvalOptions:
+def _eval_options() -> starlark.EvalOptions:
     checks = 0
 
-    def over_budget() -> bool:
+    def is_over_budget() -> bool:
         nonlocal checks
         checks += 1
-        return checks > CHECK_LIMIT
+        return checks > MAX_CANCEL_CHECKS
 
-    return starlark.EvalOptions(check_cancelled=over_budget, max_callstack_size=CALL_DEPTH_LIMIT)
+    return starlark.EvalOptions(check_cancelled=is_over_budget, max_callstack_size=MAX_CALL_DEPTH)
 
 
 def _problem(name: str, text: str, line: int = 1) -> Problem:
-    position = _POSITION.search(text)
-    place = f"line {position[1]} column {position[2]}" if position else f"line {line} column 1"
+    position = _POSITION_PATTERN.search(text)
+    location = f"line {position[1]} column {position[2]}" if position else f"line {line} column 1"
     lines = [line.strip() for line in text.splitlines() if line.strip()]
     cause = next((line for line in lines if line.startswith("error:")), lines[0] if lines else "")
-    detail = f"policy {name} {place}: {cause}"
+    detail = f"policy {name} {location}: {cause}"
     return Problem(code=ResultCode.POLICY_INVALID, detail=detail[:500])
 
 
@@ -119,7 +119,7 @@
         source: Program text.
 
     Returns:
-        The compiled policy, or a problem with line and column where there is one.
+        The compiled policy, or a problem with line and column field there is one.
     """
     dialect = starlark.Dialect.standard()
     dialect.enable_types = starlark.DialectTypes.ENABLE
@@ -132,7 +132,7 @@
         if errors:
             return Failure(_problem(name, str(errors[0])))
         module = starlark.Module()
-        starlark.eval_with(_options(), module, tree, globals_)
+        starlark.eval_with(_eval_options(), module, tree, globals_)
         frozen = module.freeze()
     except starlark.StarlarkError as error:
         return Failure(_problem(name, str(error)))
@@ -149,7 +149,7 @@
     return next((number for number, line in lines if line.startswith("def decide(")), 1)
 
 
-def ask_policy(policy: CompiledPolicy, facts: RequestFacts) -> Result[Decision, Problem]:
+def evaluate_policy(policy: CompiledPolicy, facts: RequestFacts) -> Result[Decision, Problem]:
     """Ask a policy about one request.
 
     Args:
@@ -160,19 +160,21 @@
         Its decision, or a problem if it failed, ran too long or returned something else.
     """
     try:
-        answer = policy.module.call_with(_options(), "decide", msgspec.structs.asdict(facts)).value
+        answer = policy.module.call_with(
+            _eval_options(), "decide", msgspec.structs.asdict(facts)
+        ).value
     except starlark.StarlarkError as error:
         return Failure(_problem(policy.name, str(error), policy.decide_line))
     try:
         return Success(_DECISION.validate_python(answer))
     except ValidationError as error:
         first = error.errors()[0]
-        where = ".".join(str(part) for part in first["loc"]) or "result"
-        text = f"decide returned {where}: {first['msg']}"
+        field = ".".join(str(part) for part in first["loc"]) or "result"
+        text = f"decide returned {field}: {first['msg']}"
         return Failure(_problem(policy.name, text, policy.decide_line))
 
 
-def try_policies(configuration: Configuration) -> list[Problem]:
+def validate_policies(configuration: Configuration) -> list[Problem]:
     """Compile every policy and try it on sample requests of the pipelines that use it.
 
     Args:
@@ -187,15 +189,15 @@
         if isinstance(compiled, Failure):
             problems.append(compiled.failure())
             continue
-        problem = _first_failed_trial(configuration, compiled.unwrap())
+        problem = _first_failure(configuration, compiled.unwrap())
         if problem is not None:
             problems.append(problem)
     return problems
 
 
-def _first_failed_trial(configuration: Configuration, policy: CompiledPolicy) -> Problem | None:
-    for facts in _samples(configuration, policy.name):
-        outcome = ask_policy(policy, facts)
+def _first_failure(configuration: Configuration, policy: CompiledPolicy) -> Problem | None:
+    for facts in _sample_requests(configuration, policy.name):
+        outcome = evaluate_policy(policy, facts)
         if isinstance(outcome, Failure):
             return outcome.failure()
         decision = outcome.unwrap()
@@ -208,7 +210,7 @@
     return None
 
 
-def _samples(configuration: Configuration, policy_name: str) -> list[RequestFacts]:
+def _sample_requests(configuration: Configuration, policy_name: str) -> list[RequestFacts]:
     pipelines = [
         pipeline.name
         for pipeline in configuration.pipelines.values()
@@ -225,7 +227,7 @@
             failure_domain=domain,
         )
         for pipeline in pipelines or ["sample"]
-        for account in accounts[:SAMPLED_ACCOUNTS] or [None]
+        for account in accounts[:MAX_SAMPLE_ACCOUNTS] or [None]
         for domain in domains or ["sample"]
         for tokens in (0, 16, 4096)
     ]
--- a/src/ledgeladder/routing/service_choice.py
+++ b/src/ledgeladder/routing/service_choice.py
@@ -12,13 +12,13 @@
 
     from .forwarding_table import ForwardedUpstream
 
-FAR_PRESSURE: Final = 0.15
+REMOTE_DOMAIN_PENALTY: Final = 0.15
 """How much emptier an upstream of another failure domain must be, in requests per slot."""
 
 JITTER: Final = 0.05
 """Random part of the choice, so that boxes that know the same do not choose the same."""
 
-SILENT_PRESSURE: Final = 2.0
+INACTIVE_PENALTY: Final = 2.0
 """Added for an upstream that nobody has heard lately."""
 
 
@@ -58,8 +58,10 @@
     usable = [item for item in candidates if is_usable(item, now)] or candidates
 
     def weight(item: ForwardedUpstream) -> float:
-        far = FAR_PRESSURE if item.registration.failure_domain != failure_domain else 0.0
-        silent = SILENT_PRESSURE if is_silent(item, now) else 0.0
-        return pressure(item, now, sharers) + far + silent + rng.random() * JITTER
+        remote = (
+            REMOTE_DOMAIN_PENALTY if item.registration.failure_domain != failure_domain else 0.0
+        )
+        inactive = INACTIVE_PENALTY if is_silent(item, now) else 0.0
+        return pressure(item, now, sharers) + remote + inactive + rng.random() * JITTER
 
     return min(usable, key=weight, default=None)
--- a/tests/routing/fleet_bed.py
+++ b/tests/routing/fleet_simulation.py
@@ -96,27 +96,27 @@
 
 
 @dataclass(kw_only=True)
-class Engine:
+class SimulatedEngine:
     """The truth about one engine."""
 
     registration: Registration
     capacity: float
     kv_used: float = 0.0
     running: int = 0
-    most_running: int = 0
+    max_running: int = 0
     refused: int = 0
     arrivals: int = 0
     waited: int = 0
 
 
 @dataclass(kw_only=True)
-class Box:
+class SimulatedBox:
     """What one box believes."""
 
     failure_domain: str
     engines: dict[str, ForwardedUpstream]
     rng: random.Random
-    told: dict[str, tuple[int, float]] = field(default_factory=dict)
+    reported: dict[str, tuple[int, float]] = field(default_factory=dict)
 
 
 @dataclass(kw_only=True)
@@ -125,9 +125,9 @@
 
     streams: int = 0
     refusals: int = 0
-    gave_up: int = 0
-    far: int = 0
-    crossings: int = 0
+    unserved: int = 0
+    remote: int = 0
+    inter_domain_hops: int = 0
     """Links between failure domains that were passed."""
 
     seconds: list[float] = field(default_factory=list)
@@ -135,7 +135,7 @@
     @property
     def refused_share(self) -> float:
         """Runs that an engine refused, as a part of all that arrived."""
-        arrivals = self.refusals + self.streams - self.gave_up
+        arrivals = self.refusals + self.streams - self.unserved
         return self.refusals / max(1, arrivals)
 
     def quantile(self, share: float) -> float:
@@ -145,7 +145,7 @@
 
 def place_engines(
     profile: EngineProfile, cards: Mapping[str, tuple[int, ...]]
-) -> dict[str, Engine]:
+) -> dict[str, SimulatedEngine]:
     """Lay the model out over engines as a leader does at the first start."""
     empty = [
         PlacedEngine(
@@ -170,11 +170,11 @@
                 holdings=(holding,),
             )
             capacity = kv_capacity(profile, item.card, holding.end - holding.first)
-            engines[item.instance] = Engine(registration=registration, capacity=capacity)
+            engines[item.instance] = SimulatedEngine(registration=registration, capacity=capacity)
     return engines
 
 
-class FleetBed(VirtualTime):
+class FleetSimulation(VirtualTime):
     """Plays arrivals, reports and ends of streams in order."""
 
     def __init__(
@@ -195,7 +195,7 @@
         self.outcome = Outcome()
         self.sums: dict[str, list[float]] = {name: [0, 0.0] for name in self.engines}
         self.boxes = [
-            Box(
+            SimulatedBox(
                 failure_domain=self.domains[number % len(self.domains)],
                 engines={
                     name: ForwardedUpstream(registration=engine.registration, heard_at=1e9)
@@ -207,38 +207,38 @@
         ]
         self.interval = load_interval(boxes, CONTROLS)
         for box in self.boxes:
-            self.at(self.rng.random() * self.interval, lambda box=box: self.report(box))
-        self.at(0.0, self.arrive)
+            self.at(self.rng.random() * self.interval, lambda box=box: self.exchange_loads(box))
+        self.at(0.0, self.start_stream)
 
-    def play(self, seconds: float) -> Outcome:
-        """Play until a moment and return what became of the streams so far."""
+    def run(self, seconds: float) -> Outcome:
+        """Play until a moment and return what became of the streams so remote."""
         self.run_until(seconds)
         return self.outcome
 
-    def lose(self, names: list[str]) -> None:
+    def remove_engines(self, names: list[str]) -> None:
         """Take engines away; all boxes know at once, and streams on them are not followed."""
         for name in names:
             del self.engines[name]
             for box in self.boxes:
                 del box.engines[name]
 
-    def report(self, box: Box) -> None:
+    def exchange_loads(self, box: SimulatedBox) -> None:
         """Let a box tell its loads and take in the sums of all."""
         for name, view in box.engines.items():
             view.reported_in_flight, view.reported_kv = view.in_flight, view.kv_reserved
             sums = self.sums[name]
-            before = box.told.get(name, (0, 0.0))
-            told = (view.in_flight, view.kv_reserved)
-            if told != before:
-                sums[0] += told[0] - before[0]
-                sums[1] += told[1] - before[1]
-                box.told[name] = told
+            before = box.reported.get(name, (0, 0.0))
+            reported = (view.in_flight, view.kv_reserved)
+            if reported != before:
+                sums[0] += reported[0] - before[0]
+                sums[1] += reported[1] - before[1]
+                box.reported[name] = reported
             take_others(view, int(sums[0]), sums[1], self.now)
-        self.at(self.now + self.interval, lambda: self.report(box))
+        self.at(self.now + self.interval, lambda: self.exchange_loads(box))
 
-    def arrive(self) -> None:
+    def start_stream(self) -> None:
         """Begin a stream at a box drawn at random."""
-        self.at(self.now + self.rng.expovariate(self.rate), self.arrive)
+        self.at(self.now + self.rng.expovariate(self.rate), self.start_stream)
         box = self.rng.choice(self.boxes)
         self.outcome.streams += 1
         excluded: set[str] = set()
@@ -246,17 +246,17 @@
             path = self.choose(box, excluded)
             if path is None:
                 break
-            culprit = self.try_path(box, path)
-            if culprit is None:
+            refusing = self.try_path(box, path)
+            if refusing is None:
                 return
             self.outcome.refusals += 1
-            excluded.add(culprit)
-            note_full(box.engines[culprit], self.now)
-        self.outcome.gave_up += 1
+            excluded.add(refusing)
+            note_full(box.engines[refusing], self.now)
+        self.outcome.unserved += 1
 
-    def choose(self, box: Box, excluded: set[str]) -> ChosenPath | None:
+    def choose(self, box: SimulatedBox, excluded: set[str]) -> ChosenPath | None:
         """Choose a path as a gateway does."""
-        wanted = PathRequest(
+        request = PathRequest(
             prompt_tokens=PROMPT,
             answer_tokens=ANSWER,
             failure_domain=box.failure_domain,
@@ -265,13 +265,13 @@
         return choose_path(
             self.profile,
             list(box.engines.values()),
-            wanted,
+            request,
             self.now,
             excluded=excluded,
             rng=box.rng,
         )
 
-    def try_path(self, box: Box, path: ChosenPath) -> str | None:
+    def try_path(self, box: SimulatedBox, path: ChosenPath) -> str | None:
         """Run a stream over a path; returns the engine that refuses it, if one does."""
         tokens = PROMPT + ANSWER
         parts = [(self.engines[part.instance], part.end - part.first) for part in path.parts]
@@ -285,18 +285,18 @@
         for engine, layers in parts:
             engine.kv_used += tokens * layers
             engine.running += 1
-            engine.most_running = max(engine.most_running, engine.running)
-            seconds += self.run_seconds(engine, layers)
+            engine.max_running = max(engine.max_running, engine.running)
+            seconds += self.stream_seconds(engine, layers)
         reserve(path, tokens)
         self.outcome.seconds.append(seconds)
         domains = path.domains
-        self.outcome.far += domains[0] != box.failure_domain
+        self.outcome.remote += domains[0] != box.failure_domain
         pairs = zip(domains, domains[1:], strict=False)
-        self.outcome.crossings += sum(one != other for one, other in pairs)
-        self.at(self.now + seconds, lambda: self.end(path, parts, tokens))
+        self.outcome.inter_domain_hops += sum(one != other for one, other in pairs)
+        self.at(self.now + seconds, lambda: self.finish_stream(path, parts, tokens))
         return None
 
-    def run_seconds(self, engine: Engine, layers: int) -> float:
+    def stream_seconds(self, engine: SimulatedEngine, layers: int) -> float:
         """Return how long a stream works on one engine, with what runs there now."""
         card = self.profile.cards[engine.registration.card]
         step = (self.profile.step_ms + self.profile.sequence_ms * engine.running) / 1000.0
@@ -304,7 +304,9 @@
         share = layers / self.profile.layers
         return share * (step * card.step_factor * ANSWER + read)
 
-    def end(self, path: ChosenPath, parts: list[tuple[Engine, int]], tokens: int) -> None:
+    def finish_stream(
+        self, path: ChosenPath, parts: list[tuple[SimulatedEngine, int]], tokens: int
+    ) -> None:
         """End a stream."""
         release(path, tokens)
         for engine, layers in parts:
--- a/tests/routing/test_policy.py
+++ b/tests/routing/test_policy.py
@@ -15,7 +15,12 @@
     ResultCode,
     apply_objects,
 )
-from ledgeladder.routing.policy import RequestFacts, ask_policy, compile_policy, try_policies
+from ledgeladder.routing.policy import (
+    RequestFacts,
+    compile_policy,
+    evaluate_policy,
+    validate_policies,
+)
 
 FACTS = RequestFacts(
     pipeline="p", account="a", priority="", max_tokens=10, failure_domain="domain-a"
@@ -39,19 +44,19 @@
         ("for i in range(10000000):\n    pass\ndef decide(request):\n    return {}\n", ""),
     ],
 )
-def test_unfit_policies(source: str, part: str) -> None:
+def test_invalid_policies_are_rejected(source: str, part: str) -> None:
     put = ObjectSet(
         policies=(Policy(name="bad", source=source),),
         pipelines=(Pipeline(name="p", model="m", layers=4, policy="bad"),),
     )
-    problems = try_policies(apply_objects(Configuration(), put, ()))
+    problems = validate_policies(apply_objects(Configuration(), put, ()))
     assert problems
     assert problems[0].code is ResultCode.POLICY_INVALID
     assert part in problems[0].detail
     assert re.match(r"policy bad line \d+ column \d+: ", problems[0].detail)
 
 
-def test_good_policy_decides() -> None:
+def test_valid_policy_returns_decision() -> None:
     source = (
         "def decide(request):\n"
         '    if request["max_tokens"] > 100:\n'
@@ -59,13 +64,13 @@
         '    return {"failure_domains": [request["failure_domain"]], "max_tokens": 5}\n'
     )
     policy = compile_policy("good", source).unwrap()
-    decision = ask_policy(policy, FACTS).unwrap()
+    decision = evaluate_policy(policy, FACTS).unwrap()
     assert decision.allow
     assert decision.failure_domains == ["domain-a"]
     assert decision.max_tokens == 5
 
 
-def test_budget_is_counted_anew_for_each_call() -> None:
+def test_step_budget_applies_to_each_call() -> None:
     source = "def decide(request):\n    for i in range(50000):\n        pass\n    return {}\n"
     policy = compile_policy("long", source).unwrap()
-    assert not any(isinstance(ask_policy(policy, FACTS), Failure) for _ in range(20))
+    assert not any(isinstance(evaluate_policy(policy, FACTS), Failure) for _ in range(20))
