--- a/src/ledgeladder/routing/policy.py
+++ b/src/ledgeladder/routing/policy.py
@@ -1,8 +1,8 @@
-"""Policies: short Starlark programs that decide what may flow field.
+"""Policies: short Starlark programs that decide which requests are allowed and where they may run.
 
-A policy defines `decide(request)`. It gets a dict with the keys of `RequestFacts` and returns a
-dict with any of the keys of `Decision`. The language has no clock, no files and no random numbers,
-and its work is counted in interpreter steps, so every box reaches the same decision.
+A policy defines `decide(request)`. It receives a dict with the keys of `RequestFacts` and returns a
+dict with any of the keys of `Decision`. The language has no clock, files or random numbers, and its
+work is limited by interpreter steps, so every box reaches the same decision.
 """
 
 from __future__ import annotations
@@ -20,31 +20,32 @@
 from ..model import ClientAccount, Configuration, Problem, ResultCode
 
 MAX_CANCEL_CHECKS: Final = 100
-"""Times that the interpreter may ask whether to go on; it asks about every 1,000 steps."""
+"""Maximum number of cancellation checks per evaluation; the interpreter makes one about every 1,000
+steps."""
 
 MAX_CALL_DEPTH: Final = 50
-"""Deepest nesting of calls."""
+"""Maximum call depth."""
 
 MAX_SAMPLE_ACCOUNTS: Final = 20
-"""Client accounts that a policy is tried with before it is accepted."""
+"""Maximum number of client accounts that a policy is validated with."""
 
 _POSITION_PATTERN: Final = re.compile(r":(\d+):(\d+)")
 
 
 class RequestFacts(msgspec.Struct, frozen=True, kw_only=True):
-    """What a policy is told about a request."""
+    """Input of a policy."""
 
     pipeline: str
-    """Pipeline that was named."""
+    """Name of the requested pipeline."""
 
     account: str
-    """Client account that asks."""
+    """Name of the client account."""
 
     priority: str
     """Priority of the account, or empty."""
 
     max_tokens: int
-    """Most tokens asked for; 0 for a plain service."""
+    """Requested maximum number of tokens; 0 for a plain service."""
 
     failure_domain: str
     """Failure domain of the entry box."""
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Decision:
-    """What a policy answers. Every field may be left out."""
+    """Result of a policy. Every field is optional."""
 
     __pydantic_config__: ClassVar[ConfigDict] = ConfigDict(extra="forbid")
 
@@ -60,7 +61,7 @@
     """False denies the request."""
 
     reason: Annotated[str, Field(max_length=200)] = ""
-    """Told to the caller of a denied request."""
+    """Sent to the caller of a denied request."""
 
     upstreams: Annotated[list[str], Field(max_length=1000)] | None = None
     """Names of the upstreams that may be used; None for all."""
@@ -69,14 +70,14 @@
     """Failure domains whose upstreams may be used; None for all."""
 
     priority: str | None = None
-    """Priority to use in location of the account's."""
+    """Priority that replaces the account's."""
 
     max_tokens: Annotated[int, Field(ge=1, strict=True)] | None = None
-    """Upper bound on tokens."""
+    """Upper bound on the number of tokens."""
 
 
 class CompiledPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """A policy that is ready to be asked."""
+    """A policy that is ready for evaluation."""
 
     name: str
     """Name of the policy."""
@@ -85,7 +86,7 @@
     """The frozen Starlark module."""
 
     decide_line: int
-    """Line on which `decide` is defined, named field a result is at fault."""
+    """Line on which `decide` is defined, reported if its result is invalid."""
 
 
 _DECISION: Final = TypeAdapter(Decision)
@@ -115,11 +116,11 @@
     """Parse, type-check and load a policy.
 
     Args:
-        name: Name of the policy, for messages.
+        name: Name of the policy, for error messages.
         source: Program text.
 
     Returns:
-        The compiled policy, or a problem with line and column field there is one.
+        The compiled policy, or a problem with line and column if available.
     """
     dialect = starlark.Dialect.standard()
     dialect.enable_types = starlark.DialectTypes.ENABLE
@@ -140,7 +141,7 @@
 
 
 def _decide_line(source: str) -> int:
-    r"""Return the line that defines `decide`, or 1 without one.
+    r"""Return the line that defines `decide`, or 1 if there is none.
 
     >>> _decide_line("x = 1\ndef decide(request):\n    return {}")
     2
@@ -150,14 +151,15 @@
 
 
 def evaluate_policy(policy: CompiledPolicy, facts: RequestFacts) -> Result[Decision, Problem]:
-    """Ask a policy about one request.
+    """Evaluate a policy for one request.
 
     Args:
         policy: The policy.
-        facts: What it is told.
+        facts: Its input.
 
     Returns:
-        Its decision, or a problem if it failed, ran too long or returned something else.
+        The decision, or a problem if the policy failed, exceeded its step limit or returned an
+        invalid result.
     """
     try:
         answer = policy.module.call_with(
@@ -175,13 +177,13 @@
 
 
 def validate_policies(configuration: Configuration) -> list[Problem]:
-    """Compile every policy and try it on sample requests of the pipelines that use it.
+    """Compile every policy and evaluate it on sample requests of the pipelines that use it.
 
     Args:
-        configuration: The configuration that would come into force.
+        configuration: The proposed configuration.
 
     Returns:
-        One problem for each policy that is not fit for use.
+        One problem for each invalid policy.
     """
     problems: list[Problem] = []
     for policy in configuration.policies.values():
--- a/src/ledgeladder/routing/route_index.py
+++ b/src/ledgeladder/routing/route_index.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request and the client account of a key."""
+"""Lookup of the route of a request and of the client account of a key."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class RouteIndex(msgspec.Struct, kw_only=True):
-    """A configuration, arranged for look-ups."""
+    """A configuration, indexed for lookups."""
 
     routes: dict[str, dict[str, RouteRule]] = msgspec.field(default_factory=dict)
-    """Routes by host and prefix."""
+    """Routes by host and path prefix."""
 
     accounts: dict[str, AccountKeys] = msgspec.field(default_factory=dict)
     """Client accounts by key."""
 
     needs_keys: bool = False
-    """True if there are client accounts, so that routes need a key unless they are public."""
+    """Whether there are client accounts, in which case routes that are not public require a key."""
 
 
 def build_index(configuration: TrafficConfiguration) -> RouteIndex:
-    """Arrange a configuration for look-ups."""
+    """Build the index of a configuration."""
     index = RouteIndex(needs_keys=bool(configuration.accounts))
     for route in configuration.routes:
         index.routes.setdefault(route.host, {})[route.path_prefix] = route
@@ -37,17 +37,17 @@
 
 
 def find_route(index: RouteIndex, host: str, path: str) -> RouteRule | None:
-    """Return the route with the longest prefix that begins a path.
+    """Return the route with the longest matching path prefix.
 
-    Prefixes end with a slash; one that does not is never found.
+    Prefixes must end with a slash; others never match.
 
     Args:
-        index: The look-up tables.
-        host: Host that the caller asks for, in lower case and without a port.
+        index: The index.
+        host: Requested host, in lower case and without a port.
         path: Path without its query.
 
     Returns:
-        The route, or None if no prefix of the host begins the path.
+        The route, or None if no prefix of the host matches.
     """
     prefixes = index.routes.get(host)
     if not prefixes:
@@ -62,11 +62,11 @@
 
 
 def choose_pool(route: RouteRule, rng: random.Random) -> str:
-    """Choose a pool by weight; one of weight 0 is never chosen.
+    """Choose a pool at random by weight; pools of weight 0 are never chosen.
 
     Args:
         route: The route, whose weights sum to more than 0.
-        rng: Source of the choice.
+        rng: Source of randomness.
 
     Returns:
         Name of the pool.
--- a/src/ledgeladder/routing/service_choice.py
+++ b/src/ledgeladder/routing/service_choice.py
@@ -1,4 +1,7 @@
-"""Which plain service gets a request: the one with the least to do, near ones before far ones."""
+"""Selection of a plain service for a request.
+
+The least loaded one is selected, with a preference for the own failure domain.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +16,13 @@
     from .forwarding_table import ForwardedUpstream
 
 REMOTE_DOMAIN_PENALTY: Final = 0.15
-"""How much emptier an upstream of another failure domain must be, in requests per slot."""
+"""Pressure added for an upstream in another failure domain, in requests per slot."""
 
 JITTER: Final = 0.05
-"""Random part of the choice, so that boxes that know the same do not choose the same."""
+"""Largest random part of the weight, so that boxes with the same view choose differently."""
 
 INACTIVE_PENALTY: Final = 2.0
-"""Added for an upstream that nobody has heard lately."""
+"""Pressure added for an inactive upstream, in requests per slot."""
 
 
 def choose_service(
@@ -31,19 +34,19 @@
     sharers: int,
     rng: random.Random,
 ) -> ForwardedUpstream | None:
-    """Choose the upstream for the next try of a request.
+    """Choose the upstream for the next attempt of a request.
 
-    Those that failed or were full lately are the last resort, since this box only guesses that they
-    cannot serve. Those that leave, asked for rest or take no more requests in this second are none:
-    they said what they want. Nor are those that would ask for rest again.
+    Upstreams that recently failed or were full are a last resort, since this box only infers that
+    they cannot serve. Draining, backing-off and rate-limited upstreams are never used, since they
+    said so themselves; nor are those likely to ask for back-off again.
 
     Args:
         pool: Upstreams of the pool.
         now: Monotonic time.
-        tried: Runs of upstreams that it was tried at.
+        tried: Instances of upstreams that the request was already sent to.
         failure_domain: Failure domain of this box.
-        sharers: Entry boxes that send to them.
-        rng: Source of the random part.
+        sharers: Number of entry boxes that use the upstreams.
+        rng: Source of the jitter.
 
     Returns:
         The upstream, or None if none is left.
--- a/tests/routing/fleet_simulation.py
+++ b/tests/routing/fleet_simulation.py
@@ -1,9 +1,8 @@
-"""A fleet in virtual time: boxes that choose paths with the real code, and engines that fill up.
+"""Simulation of a fleet in virtual time: boxes with the real path selection, and simulated engines.
 
-There is no network and no clock. Each box sees what it does itself at once, and what all boxes do
-when the sums of loads reach it, as often as `load_interval` says. An engine refuses a run for which
-its KV cache has no room, as real ones do. Streams last as long as the cards of their path take with
-what runs on them when the stream begins.
+Each box sees its own requests at once and those of other boxes when load sums arrive, every
+`load_interval`. An engine refuses a request that does not fit in its KV cache. The duration of a
+stream depends on the cards of its path and on what runs on them when it starts.
 """
 
 from __future__ import annotations
@@ -33,11 +32,11 @@
     from ledgeladder.model.traffic import EngineProfile
 
 CONTROLS = 5
-"""Control boxes that add up loads."""
+"""Control boxes that sum up loads."""
 
 PROMPT = 774
 ANSWER = 214
-"""Tokens of the streams, which all have the same size."""
+"""Tokens of each stream's prompt and answer."""
 
 LARGE_CARDS = {
     "a": (4, 11, 28),
@@ -46,11 +45,11 @@
     "d": (4, 11, 28),
     "e": (2, 18, 15),
 }
-"""Engines with each kind of card by failure domain: 190 of them, as on the users' largest site."""
+"""Number of engines with each kind of card, by failure domain, at a large site."""
 
 LARGE_BOXES = 195
 LARGE_STREAMS_PER_SECOND = 244.0
-"""Boxes of that site and the streams that begin there."""
+"""Number of boxes at that site, and the rate of new streams."""
 
 LARGE_PROFILE = msgspec.structs.replace(
     PROFILE,
@@ -69,11 +68,11 @@
 """Requests that an engine runs at once."""
 
 SMALL_CARDS = {"a": (2, 13, 22), "b": (1, 22, 12), "c": (4, 9, 14)}
-"""99 engines whose cards are smaller; their kinds are those of `SMALL_PROFILE`."""
+"""Number of engines at a site with smaller cards, whose kinds are those of `SMALL_PROFILE`."""
 
 SMALL_BOXES = 63
 SMALL_STREAMS_PER_SECOND = 103.0
-"""Boxes of that site and the streams that begin there in a burst, a quarter above 82 a second."""
+"""Number of boxes at that site, and the rate of new streams in a burst."""
 
 SMALL_PROFILE = msgspec.structs.replace(
     PROFILE,
@@ -92,12 +91,12 @@
     activation_bytes=16_400,
     pipe_bytes_per_s=4.3e9 / 8,
 )
-"""Answers are short there, so that slots fill before the KV cache does."""
+"""Short answers, which fill the slots before the KV cache."""
 
 
 @dataclass(kw_only=True)
 class SimulatedEngine:
-    """The truth about one engine."""
+    """Actual state of an engine."""
 
     registration: Registration
     capacity: float
@@ -111,7 +110,7 @@
 
 @dataclass(kw_only=True)
 class SimulatedBox:
-    """What one box believes."""
+    """A box and its view of the engines."""
 
     failure_domain: str
     engines: dict[str, ForwardedUpstream]
@@ -121,32 +120,32 @@
 
 @dataclass(kw_only=True)
 class Outcome:
-    """What became of the streams of a run."""
+    """Outcome of the streams of a simulation."""
 
     streams: int = 0
     refusals: int = 0
-    unserved: int = 0
+    gave_up: int = 0
     remote: int = 0
     inter_domain_hops: int = 0
-    """Links between failure domains that were passed."""
+    """Inter-domain hops of all streams."""
 
     seconds: list[float] = field(default_factory=list)
 
     @property
     def refused_share(self) -> float:
-        """Runs that an engine refused, as a part of all that arrived."""
-        arrivals = self.refusals + self.streams - self.unserved
+        """Share of attempts that an engine refused."""
+        arrivals = self.refusals + self.streams - self.gave_up
         return self.refusals / max(1, arrivals)
 
     def quantile(self, share: float) -> float:
-        """Return how long streams take, in seconds."""
+        """Return a quantile of the stream durations, in seconds."""
         return sorted(self.seconds)[int(share * (len(self.seconds) - 1))]
 
 
 def place_engines(
     profile: EngineProfile, cards: Mapping[str, tuple[int, ...]]
 ) -> dict[str, SimulatedEngine]:
-    """Lay the model out over engines as a leader does at the first start."""
+    """Assign layers to engines as a leader does at the first start."""
     empty = [
         PlacedEngine(
             instance=f"{domain}-{card}-{number}", failure_domain=domain, card=card, holding=None
@@ -175,7 +174,7 @@
 
 
 class FleetSimulation(VirtualTime):
-    """Plays arrivals, reports and ends of streams in order."""
+    """Simulates arrivals, load reports and completions of streams in order."""
 
     def __init__(
         self,
@@ -211,19 +210,19 @@
         self.at(0.0, self.start_stream)
 
     def run(self, seconds: float) -> Outcome:
-        """Play until a moment and return what became of the streams so remote."""
+        """Run until a time and return the outcome so far."""
         self.run_until(seconds)
         return self.outcome
 
     def remove_engines(self, names: list[str]) -> None:
-        """Take engines away; all boxes know at once, and streams on them are not followed."""
+        """Remove engines; all boxes see that at once, and streams on them are not followed."""
         for name in names:
             del self.engines[name]
             for box in self.boxes:
                 del box.engines[name]
 
     def exchange_loads(self, box: SimulatedBox) -> None:
-        """Let a box tell its loads and take in the sums of all."""
+        """Report the loads of a box and update its view with the sums over all boxes."""
         for name, view in box.engines.items():
             view.reported_in_flight, view.reported_kv = view.in_flight, view.kv_reserved
             sums = self.sums[name]
@@ -237,7 +236,7 @@
         self.at(self.now + self.interval, lambda: self.exchange_loads(box))
 
     def start_stream(self) -> None:
-        """Begin a stream at a box drawn at random."""
+        """Start a stream at a random box."""
         self.at(self.now + self.rng.expovariate(self.rate), self.start_stream)
         box = self.rng.choice(self.boxes)
         self.outcome.streams += 1
@@ -252,7 +251,7 @@
             self.outcome.refusals += 1
             excluded.add(refusing)
             note_full(box.engines[refusing], self.now)
-        self.outcome.unserved += 1
+        self.outcome.gave_up += 1
 
     def choose(self, box: SimulatedBox, excluded: set[str]) -> ChosenPath | None:
         """Choose a path as a gateway does."""
@@ -272,7 +271,7 @@
         )
 
     def try_path(self, box: SimulatedBox, path: ChosenPath) -> str | None:
-        """Run a stream over a path; returns the engine that refuses it, if one does."""
+        """Run a stream over a path; return the engine that refuses it, if any."""
         tokens = PROMPT + ANSWER
         parts = [(self.engines[part.instance], part.end - part.first) for part in path.parts]
         for engine, layers in parts:
@@ -297,7 +296,7 @@
         return None
 
     def stream_seconds(self, engine: SimulatedEngine, layers: int) -> float:
-        """Return how long a stream works on one engine, with what runs there now."""
+        """Return how long a stream takes on one engine under its current load."""
         card = self.profile.cards[engine.registration.card]
         step = (self.profile.step_ms + self.profile.sequence_ms * engine.running) / 1000.0
         read = PROMPT / self.profile.read_per_s * card.read_factor
@@ -307,7 +306,7 @@
     def finish_stream(
         self, path: ChosenPath, parts: list[tuple[SimulatedEngine, int]], tokens: int
     ) -> None:
-        """End a stream."""
+        """Finish a stream."""
         release(path, tokens)
         for engine, layers in parts:
             engine.running -= 1
--- a/tests/routing/test_policy.py
+++ b/tests/routing/test_policy.py
@@ -1,4 +1,4 @@
-"""Bad policies are refused with line and column before anything changes."""
+"""Invalid policies are rejected with line and column before they take effect."""
 
 from __future__ import annotations
 
