--- a/src/ledgeladder/routing/group_plan.py
+++ b/src/ledgeladder/routing/group_plan.py
@@ -228,16 +228,16 @@
         for layer in range(holding.first, holding.end):
             layer_capacity[layer] += requests
             seconds[layer] = min(seconds[layer], layer_seconds)
-    min_carried = min(layer_capacity)
-    if min_carried <= 0.0:
+    min_capacity = min(layer_capacity)
+    if min_capacity <= 0.0:
         return 0.0
     total = max(sum(seconds), 1e-9)
     after_losses = 0.0
     for item in engines:
         holding = holdings[item.instance]
         remaining = min(layer_capacity[holding.first : holding.end]) - capacities[item.instance]
-        after_losses += math.log1p(max(0.0, min(min_carried, remaining)) / total)
-    return math.log1p(min_carried / total) + after_losses / len(engines)
+        after_losses += math.log1p(max(0.0, min(min_capacity, remaining)) / total)
+    return math.log1p(min_capacity / total) + after_losses / len(engines)
 
 
 def _layer_seconds(profile: EngineProfile, card: str) -> float:
--- a/src/ledgeladder/routing/layer_coverage.py
+++ b/src/ledgeladder/routing/layer_coverage.py
@@ -24,7 +24,7 @@
 
 NEED_EXPONENT: Final = 2
 """How steeply the need for a layer falls with its capacity. A layer with one holder precedes
-several with two; a higher value would dominate the sum over a range."""
+several with two; with a higher value, a single layer would dominate the sum over a range."""
 
 MAX_REQUEST_CAPACITY: Final = 1e6
 """Capacity of an engine, in requests, if the KV cache size of a token is unknown."""
@@ -69,8 +69,8 @@
         card: Kind of the accelerator.
         layers: Layers that it holds; at least one.
     """
-    room = kv_capacity(profile, card, layers) / (layers * usual_tokens(profile))
-    return min(room, float(profile.slots)) if profile.slots else room
+    capacity = kv_capacity(profile, card, layers) / (layers * usual_tokens(profile))
+    return min(capacity, float(profile.slots)) if profile.slots else capacity
 
 
 class LayerCoverage(msgspec.Struct, kw_only=True):
--- a/src/ledgeladder/routing/placement.py
+++ b/src/ledgeladder/routing/placement.py
@@ -93,9 +93,9 @@
     """Divide engines into groups that are each to hold the whole model.
 
     A failure domain that can hold the model is a group by itself: it serves without inter-domain
-    hops and survives a network partition. All others form one more group. If the failure domains
-    could hold the model only with little capacity left for requests, all engines form one group:
-    its rate is limited by the inter-domain links, and losing one engine does not lose a copy.
+    hops and survives a network partition. All others form one more group. If this leaves the
+    failure domains so little capacity that all engines together serve more, limited by the
+    inter-domain links, they form one group, which then does not lose a copy with a single engine.
     """
     by_domain: dict[str, list[PlacedEngine]] = {}
     for engine in engines:
--- a/tests/routing/test_group_plan.py
+++ b/tests/routing/test_group_plan.py
@@ -72,7 +72,7 @@
 
 
 def test_single_copy_on_few_engines_leaves_request_capacity() -> None:
-    """Guards against dividing by memory alone, which would leave the smallest cards little
+    """Guards against dividing by memory domain_rate, which would leave the smallest cards little
     capacity."""
     members = make_engines("a", fast=2, middle=2, slow=3)
     chosen = plan_group(SMALL, members)
@@ -98,10 +98,10 @@
 def test_failure_domains_with_little_capacity_form_one_group() -> None:
     """Together they serve what the links carry, which is more."""
     site = make_engines("a", fast=4) + make_engines("b", fast=4) + make_engines("c", fast=4)
-    crowded = msgspec.structs.replace(SMALL, layer_mb=1785.0)
-    alone = requests_per_second(crowded, site[:4])
-    assert 0 < 3 * alone < 22
-    assert [len(group) for group in group_engines(crowded, site)] == [12]
+    large_layers = msgspec.structs.replace(SMALL, layer_mb=1785.0)
+    domain_rate = requests_per_second(large_layers, site[:4])
+    assert 0 < 3 * domain_rate < 22
+    assert [len(group) for group in group_engines(large_layers, site)] == [12]
 
 
 def test_groups_do_not_rely_on_links_of_unknown_bandwidth() -> None:
--- a/tests/routing/test_link_load.py
+++ b/tests/routing/test_link_load.py
@@ -64,15 +64,15 @@
 
 def test_less_used_link_is_preferred_and_full_links_refuse() -> None:
     load = LinkLoad()
-    chosen = []
+    used_domains = []
     while (path := choose_path(NARROW_LINKS, POOL, make_request(load, 4), 1.0)) is not None:
         domains = [engine.registration.failure_domain for engine in path.engines]
-        chosen.append(domains[1])
+        used_domains.append(domains[1])
         record_transfer(load, NARROW_LINKS, domains, 774, 1.0)
-        assert len(chosen) < 100
+        assert len(used_domains) < 100
     # Each request counts as 0.2 s per second for four boxes, so four of them fill a link.
-    assert sorted(chosen) == ["b"] * 4 + ["c"] * 4
-    assert chosen[:2] in (["b", "c"], ["c", "b"])
+    assert sorted(used_domains) == ["b"] * 4 + ["c"] * 4
+    assert used_domains[:2] in (["b", "c"], ["c", "b"])
     why = explain_no_path(NARROW_LINKS, POOL, make_request(load, 4), 1.0)
     assert "full links a-b, a-c" in str(why)
     assert why.is_out_of_capacity
