--- a/src/ledgeladder/coordination/claims.py
+++ b/src/ledgeladder/coordination/claims.py
@@ -120,10 +120,10 @@
     table.expired_before_ms = limit
     for bucket in [bucket for bucket in table.buckets if bucket < limit]:
         for account, key in table.buckets.pop(bucket):
-            _forget(table, account, key)
+            _drop_claim(table, account, key)
 
 
-def _forget(table: ClaimTable, account: str, key: str) -> None:
+def _drop_claim(table: ClaimTable, account: str, key: str) -> None:
     keys = table.claims.get(account, {})
     claim = keys.pop(key, None)
     if claim is None:
@@ -227,7 +227,7 @@
     if existing is None or existing.ended:
         return False
     key = canonical_key(command.key)
-    _forget(table, command.account, key)
+    _drop_claim(table, command.account, key)
     key_time = key_time_ms(key) or 0
     bucket = table.buckets.get(key_time // BUCKET_MS * BUCKET_MS, [])
     if (command.account, key) in bucket:
--- a/src/ledgeladder/coordination/rate_limit.py
+++ b/src/ledgeladder/coordination/rate_limit.py
@@ -19,7 +19,7 @@
 limit was withdrawn, and an upstream that gets no requests sends none."""
 
 RECOVERY_MIN_RATE: Final = 1.0
-"""Requests per second from which the rate recovers at least after a limit was withdrawn."""
+"""Minimum rate at which the recovery starts after a limit was withdrawn, in requests per second."""
 
 RECOVERY_DOUBLING_SECONDS: Final = 0.5
 """Time in which the rate doubles during recovery. An upstream that is still overloaded advertises a
--- a/src/ledgeladder/coordination/registrations.py
+++ b/src/ledgeladder/coordination/registrations.py
@@ -69,7 +69,7 @@
     Args:
         table: The table.
         registration: The registration.
-        last_seen_at: When the upstream sent it, on the own monotonic clock.
+        last_seen_at: When the upstream was seen, on the own monotonic clock.
 
     Returns:
         True if anything changed and must be sent to other boxes.
--- a/src/ledgeladder/coordination/voters.py
+++ b/src/ledgeladder/coordination/voters.py
@@ -13,9 +13,8 @@
 """Maximum time since the last answer of a learner that is promoted: several heartbeats."""
 
 VOTER_TIMEOUT_SECONDS: Final = 2.0
-"""Inactivity after which a voter is replaced by a learner with the whole log. It exceeds the time
-of an election, and is short enough that the replacement finishes before the platform stops the next
-box."""
+"""Inactivity after which a voter is replaced by a learner with the whole log. This exceeds the time
+of an election, and leaves time for the change before the platform lets another box fail."""
 
 
 def next_voters(
--- a/tests/coordination/test_claims.py
+++ b/tests/coordination/test_claims.py
@@ -112,7 +112,7 @@
         for account in list(table.claims):
             for key in list(table.claims[account]):
                 if (key_time_ms(key) or 0) < clock_ms - CLAIM_WINDOW_MS:
-                    table_module._forget(table, account, key)
+                    table_module._drop_claim(table, account, key)
 
     monkeypatch.setattr(state_machine, "expire", drop_without_refusing)
     with pytest.raises(AssertionError, match="two attempts"):
--- a/tests/coordination/test_freshness.py
+++ b/tests/coordination/test_freshness.py
@@ -16,7 +16,7 @@
 """Tolerance for sums of floating-point numbers, in seconds."""
 
 
-def run_schedule(seed: int, take: Callable[[Freshness, int, int, float, float], None]) -> int:
+def run_schedule(seed: int, handle: Callable[[Freshness, int, int, float, float], None]) -> int:
     """Simulate queries, replies, publications and pauses; returns the number of violations.
 
     A violation is a version that the box trusts although a newer one was published more than the
@@ -25,10 +25,10 @@
     """
     rng = random.Random(seed)
     freshness = Freshness()
-    now, newest, held = 0.0, 1, 1
+    now, newest, own_version = 0.0, 1, 1
     published_at = {1: 0.0}
     queries: list[tuple[float, int]] = []
-    wrong = 0
+    violations = 0
     for _ in range(400):
         now += rng.choice((0.01, 0.1, 0.5, rng.uniform(1.0, 12.0)))
         match rng.choice(("ask", "publish", "learn", "answer", "answer")):
@@ -38,7 +38,7 @@
                 newest += 1
                 published_at[newest] = now
             case "learn":
-                held = max(held, rng.randint(held, newest))
+                own_version = max(own_version, rng.randint(own_version, newest))
             case "answer" if queries:
                 sent_at, number = queries.pop(rng.randrange(len(queries)))
                 # The reply reflects what some box on the way knew at that time.
@@ -46,18 +46,20 @@
                 age = rng.choice((0.0, min(answered_at, rng.uniform(0.0, 2.0))))
                 known_at = answered_at - age
                 version = max(item for item, at in published_at.items() if at <= known_at)
-                take(freshness, number, version, age, now)
-        if is_fresh(freshness, held, now, BOUND) and held < newest:
-            overtaken = min(at for version, at in published_at.items() if version > held)
-            wrong += now - overtaken > BOUND + ROUNDING
-    return wrong
+                handle(freshness, number, version, age, now)
+        if is_fresh(freshness, own_version, now, BOUND) and own_version < newest:
+            overtaken = min(at for version, at in published_at.items() if version > own_version)
+            violations += now - overtaken > BOUND + ROUNDING
+    return violations
 
 
-def as_it_is(freshness: Freshness, number: int, version: int, age: float, now: float) -> None:
+def handle_unchanged(
+    freshness: Freshness, number: int, version: int, age: float, now: float
+) -> None:
     handle_reply(freshness, number, version, age)
 
 
-def from_the_answer(
+def age_from_arrival(
     freshness: Freshness, number: int, version: int, age: float, now: float
 ) -> None:
     """Injected fault: the age is counted from the arrival of the reply."""
@@ -66,24 +68,24 @@
     handle_reply(freshness, number, version, age)
 
 
-def without_age(freshness: Freshness, number: int, version: int, age: float, now: float) -> None:
+def ignore_age(freshness: Freshness, number: int, version: int, age: float, now: float) -> None:
     """Injected fault: a forwarded reply is handled like one of the leader."""
     handle_reply(freshness, number, version, 0.0)
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_no_stale_belief(seed: int) -> None:
-    assert run_schedule(seed, as_it_is) == 0
+def test_outdated_version_is_never_trusted(seed: int) -> None:
+    assert run_schedule(seed, handle_unchanged) == 0
 
 
-@pytest.mark.parametrize("fault", [from_the_answer, without_age])
-def test_planted_fault_is_caught(
+@pytest.mark.parametrize("fault", [age_from_arrival, ignore_age])
+def test_injected_fault_is_detected(
     fault: Callable[[Freshness, int, int, float, float], None],
 ) -> None:
     assert sum(run_schedule(seed, fault) for seed in range(50)) > 0
 
 
-def test_answers_without_knowledge_count_for_nothing() -> None:
+def test_replies_without_knowledge_are_ignored() -> None:
     freshness = Freshness()
     handle_reply(freshness, open_query(freshness, 10.0), 3, None)
     assert not is_fresh(freshness, 3, 10.0, BOUND)
@@ -100,7 +102,7 @@
     assert freshness.as_of == 1.0
 
 
-def test_question_that_found_no_knowledge_is_answered_later() -> None:
+def test_query_without_knowledge_is_answered_later() -> None:
     """Boxes that start before there is a leader must not have to query again."""
     freshness = Freshness()
     number = open_query(freshness, 10.0)
--- a/tests/coordination/test_gathering.py
+++ b/tests/coordination/test_gathering.py
@@ -10,7 +10,7 @@
 HEARTBEAT = 1.2
 """Time between two heartbeats of an engine, in seconds."""
 
-STRAGGLING = [
+REGISTRATION_TIMES = [
     *(0.0, 0.038, 0.79, 0.79, 0.79, 0.87, 0.91, 0.93, 1.0, 1.13, 1.17, 1.2, 1.3, 1.31, 1.45, 1.45),
     *(1.68, 1.69, 1.71, 1.79, 1.82, 1.87, 1.89, 2.1, 2.1, 2.26, 2.28, 2.42, 2.42, 2.42, 2.47, 2.52),
     2.61,
@@ -49,8 +49,8 @@
 
 @pytest.mark.parametrize("first_poll", [0.02, 0.06, 0.1, 0.14, 0.18])
 def test_late_engines_are_in_the_first_plan(first_poll: float) -> None:
-    count, at = planned_with(STRAGGLING, enough=5, first_poll=first_poll)
-    assert count == len(STRAGGLING)
+    count, at = planned_with(REGISTRATION_TIMES, enough=5, first_poll=first_poll)
+    assert count == len(REGISTRATION_TIMES)
     assert at < 4.0
 
 
--- a/tests/coordination/test_state_machine.py
+++ b/tests/coordination/test_state_machine.py
@@ -64,15 +64,15 @@
 
 def test_deltas_lead_to_the_same_configuration() -> None:
     state = ClusterState()
-    held = Configuration()
+    configuration = Configuration()
     for number in range(300):
         decide(state, change(f"change-{number:04}", number, number % 100))
         if number % 7 == 0:
-            for delta in deltas_after(state, held.version) or []:
-                held = apply_delta(held, delta) or held
-    for delta in deltas_after(state, held.version) or []:
-        held = apply_delta(held, delta) or held
-    assert digest(held) == digest(state.configuration)
+            for delta in deltas_after(state, configuration.version) or []:
+                configuration = apply_delta(configuration, delta) or configuration
+    for delta in deltas_after(state, configuration.version) or []:
+        configuration = apply_delta(configuration, delta) or configuration
+    assert digest(configuration) == digest(state.configuration)
     assert deltas_after(state, 0) is None
     assert deltas_after(state, 301) is None
-    assert apply_delta(held, state.deltas[0]) is None
+    assert apply_delta(configuration, state.deltas[0]) is None
--- a/tests/coordination/test_voters.py
+++ b/tests/coordination/test_voters.py
@@ -21,8 +21,8 @@
         commit_index=5,
     )
     for member in members.everyone[1:]:
-        heard = NOW - 60.0 if member in inactive else NOW
-        replica.progress[member] = Progress(next_index=6, match_index=5, heard_at=heard)
+        last_seen = NOW - 60.0 if member in inactive else NOW
+        replica.progress[member] = Progress(next_index=6, match_index=5, heard_at=last_seen)
     return replica
 
 
@@ -40,7 +40,7 @@
     assert chosen == Members(voters=("a/1", "b/1", "c/2"))
 
 
-def test_learner_that_is_behind_or_silent_does_not_vote() -> None:
+def test_learner_that_is_behind_or_inactive_does_not_vote() -> None:
     replica = leader(("a/1", "b/1"), ("c/2",))
     replica.progress["c/2"].match_index = 4
     assert choose(replica) is None
@@ -58,7 +58,7 @@
     assert choose(leader(("a/1", "b/1", "c/1"), ("d/1",))) is None
 
 
-def test_voters_grow_to_what_the_tolerated_losses_need() -> None:
+def test_voters_grow_to_the_wanted_number() -> None:
     replica = leader(("a/1", "b/1", "c/1"), ("d/1", "e/1"))
     chosen = choose(replica, wanted=5)
     assert chosen is not None
