--- a/src/ledgeladder/daemons/control/handover.py
+++ b/src/ledgeladder/daemons/control/handover.py
@@ -11,7 +11,7 @@
     from .node import ControlNode
 
 
-def start_any_handover(node: ControlNode) -> bool:
+def start_handover(node: ControlNode) -> bool:
     """Hand the leadership to the voter that holds most of the log."""
     replica = node.replica
     voters = [voter for voter in replica.log.members.voters if voter in replica.progress]
@@ -19,5 +19,5 @@
         return False
     best = max(voters, key=lambda voter: replica.progress[voter].match_index)
     started = raft.start_handover(replica, best, clock.now())
-    node.poke()
+    node.notify()
     return started
--- a/src/ledgeladder/daemons/control/hub.py
+++ b/src/ledgeladder/daemons/control/hub.py
@@ -57,16 +57,16 @@
 
 logger = logging.getLogger(__name__)
 
-HEAD_SECONDS: Final = 2.0
+HEAD_INTERVAL_SECONDS: Final = 2.0
 """How often every follower is told the newest version, which heals a lost push."""
 
-JOIN_SECONDS: Final = 0.5
+JOIN_INTERVAL_SECONDS: Final = 0.5
 """How often a box that is no member asks to become one."""
 
-COMMANDS_OF_ENTRIES: Final = (ClaimCommand, CompleteCommand, ReleaseCommand)
+ENTRY_COMMANDS: Final = (ClaimCommand, CompleteCommand, ReleaseCommand)
 """Commands that an entry box may ask for."""
 
-REPORT_KEPT_SECONDS: Final = 10.0
+REPORT_TTL_SECONDS: Final = 10.0
 """How long a box counts as connected after it last reported."""
 
 
@@ -92,19 +92,19 @@
     order_outcomes: list[OrderOutcome] = msgspec.field(default_factory=list)
     """What gates said of orders and nobody has looked at yet."""
 
-    rests: Backoffs = msgspec.field(default_factory=Backoffs)
+    backoffs: Backoffs = msgspec.field(default_factory=Backoffs)
     """Engines that asked this box for rest, by name."""
 
     boxes: dict[str, KnownBox] = msgspec.field(default_factory=dict)
     """Entry boxes by name, connected here or reported by another control box."""
 
-    judge: QuarantineController | None = None
+    quarantine_controller: QuarantineController | None = None
     """What this box knows of contents under which upstreams end; None before the node is built."""
 
-    lender: RateGranter | None = None
+    rate_granter: RateGranter | None = None
     """Limits that upstreams name, and what it lends of them; None before the node is built."""
 
-    own_boxes: dict[str, InForce] = msgspec.field(default_factory=dict)
+    local_boxes: dict[str, InForce] = msgspec.field(default_factory=dict)
     """Entry boxes connected here."""
 
 
@@ -115,13 +115,13 @@
         link.post(LogMessage(envelope=envelope))
 
 
-def judge_of(hub: Hub) -> QuarantineController:
+def quarantine_controller_of(hub: Hub) -> QuarantineController:
     """Return what a control box knows of contents under which upstreams end."""
-    assert hub.judge is not None
-    return hub.judge
+    assert hub.quarantine_controller is not None
+    return hub.quarantine_controller
 
 
-def build_judge(hub: Hub, node: ControlNode) -> QuarantineController:
+def build_quarantine_controller(hub: Hub, node: ControlNode) -> QuarantineController:
     """Return what judges contents with the links of a control box.
 
     Entry boxes tell each end under a name of its own, and only where nobody listened any more.
@@ -134,23 +134,23 @@
     )
 
 
-def lender_of(hub: Hub) -> RateGranter:
+def rate_granter_of(hub: Hub) -> RateGranter:
     """Return what a control box knows of limits that upstreams name."""
-    assert hub.lender is not None
-    return hub.lender
+    assert hub.rate_granter is not None
+    return hub.rate_granter
 
 
-def build_lender(hub: Hub, node: ControlNode) -> RateGranter:
+def build_rate_granter(hub: Hub, node: ControlNode) -> RateGranter:
     """Return what lends requests with the links of a control box."""
     return RateGranter(
         parts=lambda: len(node.replica.log.members.voters),
-        may_grant=lambda: _may_lend(node),
+        may_grant=lambda: _may_grant(node),
         broadcast_to_entries=lambda message: post_to_all(hub.follower_links.values(), message),
         broadcast_to_peers=lambda message: post_to_all(hub.peers.values(), message),
     )
 
 
-def _may_lend(node: ControlNode) -> bool:
+def _may_grant(node: ControlNode) -> bool:
     """Tell whether a box is a voter and has heard so lately."""
     replica = node.replica
     if replica.is_leader:
@@ -160,8 +160,8 @@
 
 def push_configuration(hub: Hub, node: ControlNode) -> None:
     """Send the newest change to every follower, and which contents are sent nowhere."""
-    if hub.judge is not None:
-        broadcast_quarantine(hub.judge)
+    if hub.quarantine_controller is not None:
+        broadcast_quarantine(hub.quarantine_controller)
     for link in hub.follower_links.values():
         link.post(DeltaPush(deltas=tuple(node.state.deltas[-1:])))
 
@@ -170,14 +170,14 @@
     """Tell followers the newest version, and other control boxes who follows here, for ever."""
     known, known_digest = None, b""
     while True:
-        await anyio.sleep(HEAD_SECONDS)
+        await anyio.sleep(HEAD_INTERVAL_SECONDS)
         configuration = node.state.configuration
         if configuration is not known:
             known, known_digest = configuration, digest(configuration)
         head = VersionHead(version=configuration.version, digest=known_digest)
         for link in hub.follower_links.values():
             link.post(head)
-        report = InForceReport(boxes=tuple(hub.own_boxes.values()))
+        report = InForceReport(boxes=tuple(hub.local_boxes.values()))
         for link in hub.peers.values():
             link.post(report)
 
@@ -187,7 +187,7 @@
     hub.peers[box] = link
     try:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_ask_to_join, node, link)
+            tasks.start_soon(_request_membership, node, link)
             while True:
                 await link.receive()
     finally:
@@ -195,11 +195,11 @@
             del hub.peers[box]
 
 
-async def _ask_to_join(node: ControlNode, link: Link) -> None:
+async def _request_membership(node: ControlNode, link: Link) -> None:
     while True:
         if node.replica.member_id not in node.replica.log.members.everyone:
             link.post(JoinRequest(member_id=node.replica.member_id))
-        await anyio.sleep(JOIN_SECONDS)
+        await anyio.sleep(JOIN_INTERVAL_SECONDS)
 
 
 async def serve_accepted_link(hub: Hub, node: ControlNode, known: set[str], link: Link) -> None:
@@ -216,14 +216,14 @@
             while True:
                 message = await link.receive()
                 if isinstance(message, CommandRequest):
-                    tasks.start_soon(_answer_command, node, link, message)
+                    tasks.start_soon(_handle_command_request, node, link, message)
                 else:
-                    _take_in(hub, node, known, link, message)
+                    _handle_message(hub, node, known, link, message)
         finally:
-            _forget(hub, link)
+            _remove_link(hub, link)
 
 
-def _take_in(
+def _handle_message(
     hub: Hub, node: ControlNode, known: set[str], link: Link, message: LinkMessage
 ) -> None:
     from_control = link.peer is not None and link.peer.role is PeerRole.CONTROL
@@ -232,25 +232,25 @@
             receive_log_message(node, message)
         case JoinRequest() if from_control and box_of(message.member_id) in known:
             if box_of(message.member_id) == link.peer_box:
-                node.note_applicant(message.member_id)
+                node.record_applicant(message.member_id)
         case InForceReport() if from_control:
-            _note_boxes(hub, message.boxes)
+            _record_boxes(hub, message.boxes)
         case CrashReport():
-            handle_crash_report(judge_of(hub), message, to_peers=not from_control)
+            handle_crash_report(quarantine_controller_of(hub), message, to_peers=not from_control)
         case ContentServed():
-            handle_content_served(judge_of(hub), message, to_peers=not from_control)
+            handle_content_served(quarantine_controller_of(hub), message, to_peers=not from_control)
         case RateLimitNews():
-            apply_limits(lender_of(hub), message.limits, to_peers=not from_control)
+            apply_limits(rate_granter_of(hub), message.limits, to_peers=not from_control)
         case GrantRequest():
-            handle_grant_request(lender_of(hub), link, message)
+            handle_grant_request(rate_granter_of(hub), link, message)
         case Pull():
-            _answer_pull(hub, node, link, message)
+            _handle_pull(hub, node, link, message)
         case TermQuery():
-            _answer_term(node, link, message)
+            _handle_term_query(node, link, message)
         case OrderOutcome():
             hub.order_outcomes.append(message)
         case InForce() if message.box == link.peer_box:
-            _take_in_force(hub, message)
+            _handle_in_force(hub, message)
         case _:
             logger.warning("message of the wrong kind", extra={"peer": link.peer_box})
 
@@ -260,26 +260,26 @@
     node.receive(message.envelope)
 
 
-def _take_in_force(hub: Hub, in_force: InForce) -> None:
-    changed = hub.own_boxes.get(in_force.box) != in_force
-    hub.own_boxes[in_force.box] = in_force
-    _note_boxes(hub, (in_force,))
+def _handle_in_force(hub: Hub, in_force: InForce) -> None:
+    changed = hub.local_boxes.get(in_force.box) != in_force
+    hub.local_boxes[in_force.box] = in_force
+    _record_boxes(hub, (in_force,))
     if changed:
         # Told to the others at once, so that an operator who waits for a change sees it soon.
         for peer in hub.peers.values():
             peer.post(InForceReport(boxes=(in_force,)))
 
 
-def _note_boxes(hub: Hub, boxes: tuple[InForce, ...]) -> None:
+def _record_boxes(hub: Hub, boxes: tuple[InForce, ...]) -> None:
     now = anyio.current_time()
     for in_force in boxes:
         hub.boxes[in_force.box] = KnownBox(in_force=in_force, seen_at=now)
 
 
-def _answer_pull(hub: Hub, node: ControlNode, link: Link, pull: Pull) -> None:
+def _handle_pull(hub: Hub, node: ControlNode, link: Link, pull: Pull) -> None:
     if id(link) not in hub.follower_links:
-        link.post(quarantine_update(judge_of(hub)))
-        link.post(limit_update(lender_of(hub)))
+        link.post(quarantine_update(quarantine_controller_of(hub)))
+        link.post(limit_update(rate_granter_of(hub)))
     hub.follower_links[id(link)] = link
     deltas = None if pull.full else deltas_after(node.state, pull.version)
     if deltas is None:
@@ -288,7 +288,7 @@
         link.post(DeltaPush(deltas=tuple(deltas)))
 
 
-def _answer_term(node: ControlNode, link: Link, query: TermQuery) -> None:
+def _handle_term_query(node: ControlNode, link: Link, query: TermQuery) -> None:
     replica = node.replica
     reply = TermReply(
         call=query.call,
@@ -299,13 +299,13 @@
     link.post(reply)
 
 
-def _forget(hub: Hub, link: Link) -> None:
+def _remove_link(hub: Hub, link: Link) -> None:
     hub.follower_links.pop(id(link), None)
-    hub.own_boxes.pop(link.peer_box, None)
+    hub.local_boxes.pop(link.peer_box, None)
 
 
-async def _answer_command(node: ControlNode, link: Link, request: CommandRequest) -> None:
-    if not isinstance(request.command, COMMANDS_OF_ENTRIES):
+async def _handle_command_request(node: ControlNode, link: Link, request: CommandRequest) -> None:
+    if not isinstance(request.command, ENTRY_COMMANDS):
         # Changes and orders come from operators and from the leader itself, never over a link.
         logger.warning("command refused", extra={"peer": link.peer_box})
         reply = CommandReply(call=request.call, result=None, code=ResultCode.FRAME_INVALID)
@@ -327,5 +327,5 @@
     return {
         name: known.in_force
         for name, known in hub.boxes.items()
-        if known.seen_at > now - REPORT_KEPT_SECONDS
+        if known.seen_at > now - REPORT_TTL_SECONDS
     }
--- a/src/ledgeladder/daemons/control/main.py
+++ b/src/ledgeladder/daemons/control/main.py
@@ -19,11 +19,11 @@
 from ..rate_lender import run_limit_broadcasts
 from ..signals import on_stop_signal
 from ..supervisor import Child, Restart, supervise
-from .handover import start_any_handover
+from .handover import start_handover
 from .hub import (
     Hub,
-    build_judge,
-    build_lender,
+    build_quarantine_controller,
+    build_rate_granter,
     push_configuration,
     send_heads,
     send_to_member,
@@ -40,10 +40,10 @@
 
 logger = logging.getLogger(__name__)
 
-LEASE_SHARE = 0.8
+LEASE_FRACTION = 0.8
 """Lease as a share of the election time-out; the rest is room for clocks that drift apart."""
 
-HANDOVER_SECONDS = 2.0
+HANDOVER_TIMEOUT_SECONDS = 2.0
 """How long a planned stop waits for another leader."""
 
 
@@ -89,7 +89,7 @@
     timing = raft.Timing(
         heartbeat=settings.control.heartbeat_seconds,
         election=election,
-        lease=election * LEASE_SHARE,
+        lease=election * LEASE_FRACTION,
     )
     node = open_node(
         identity=identity,
@@ -98,7 +98,7 @@
         timing=timing,
         snapshot_entries=settings.control.snapshot_entries,
         send=lambda envelope: send_to_member(hub, envelope),
-        changed=lambda: push_configuration(hub, node),
+        on_change=lambda: push_configuration(hub, node),
         rng=random.Random(),
     )
     return node
@@ -115,8 +115,8 @@
     """
     hub = Hub()
     node = build_node(settings, hub)
-    judge = hub.judge = build_judge(hub, node)
-    lender = hub.lender = build_lender(hub, node)
+    quarantine_controller = hub.quarantine_controller = build_quarantine_controller(hub, node)
+    rate_granter = hub.rate_granter = build_rate_granter(hub, node)
     stop = anyio.Event()
     identity = LinkIdentity(
         cluster=settings.cluster.name,
@@ -160,9 +160,13 @@
         log_child(),
         Child(name="orders", run=lambda: run_orders(node, hub, client), restart=Restart.ALWAYS),
         Child(
-            name="quarantine", run=lambda: run_quarantine_controller(judge), restart=Restart.ALWAYS
+            name="quarantine",
+            run=lambda: run_quarantine_controller(quarantine_controller),
+            restart=Restart.ALWAYS,
+        ),
+        Child(
+            name="limits", run=lambda: run_limit_broadcasts(rate_granter), restart=Restart.ALWAYS
         ),
-        Child(name="limits", run=lambda: run_limit_broadcasts(lender), restart=Restart.ALWAYS),
         Child(name="heads", run=lambda: send_heads(hub, node), restart=Restart.ALWAYS),
         *(link_child(peer) for peer in others),
     ]
@@ -182,8 +186,8 @@
 
 
 async def _hand_over(node: ControlNode) -> None:
-    if not node.replica.is_leader or not start_any_handover(node):
+    if not node.replica.is_leader or not start_handover(node):
         return
-    with anyio.move_on_after(HANDOVER_SECONDS):
+    with anyio.move_on_after(HANDOVER_TIMEOUT_SECONDS):
         while node.replica.is_leader:
             await anyio.sleep(0.02)
--- a/src/ledgeladder/daemons/control/members.py
+++ b/src/ledgeladder/daemons/control/members.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-HEARD_SECONDS = 1.0
+LEARNER_SEEN_SECONDS = 1.0
 """A learner that answered within this time may be promoted."""
 
 
@@ -34,8 +34,8 @@
     members = replica.log.members
     for learner in members.learners:
         if _caught_up(replica, learner, now):
-            rest = tuple(other for other in members.learners if other != learner)
-            return raft.Members(voters=(*members.voters, learner), learners=rest)
+            remaining = tuple(other for other in members.learners if other != learner)
+            return raft.Members(voters=(*members.voters, learner), learners=remaining)
     for applicant in sorted(applicants):
         if applicant in members.everyone:
             continue
@@ -49,6 +49,6 @@
 
 def _caught_up(replica: raft.Replica, learner: str, now: float) -> bool:
     progress = replica.progress.get(learner)
-    if progress is None or progress.heard_at < now - HEARD_SECONDS:
+    if progress is None or progress.heard_at < now - LEARNER_SEEN_SECONDS:
         return False
     return progress.match_index >= replica.commit_index > 0
--- a/src/ledgeladder/daemons/control/node.py
+++ b/src/ledgeladder/daemons/control/node.py
@@ -41,10 +41,10 @@
 
 logger = logging.getLogger(__name__)
 
-TICK_LIMIT_SECONDS: Final = 0.5
+MAX_TICK_INTERVAL_SECONDS: Final = 0.5
 """Longest time without a look at the clock; messages wake the loop in between."""
 
-SUBMIT_SECONDS: Final = 5.0
+SUBMIT_TIMEOUT_SECONDS: Final = 5.0
 """How long the caller of a command waits for its commitment."""
 
 DISK_RETRY_SECONDS: Final = 0.25
@@ -53,7 +53,7 @@
 SNAPSHOT_RETRY_SECONDS: Final = 5.0
 """How long a snapshot for which the disk had no room waits; it can be large."""
 
-RETRY_SECONDS: Final = 1.0
+RETRY_AFTER_SECONDS: Final = 1.0
 """When to come back after a refusal for want of a leader."""
 
 
@@ -97,7 +97,7 @@
     send: Callable[[Envelope], None]
     """Sends a message to another member, or drops it."""
 
-    changed: Callable[[], None]
+    on_change: Callable[[], None]
     """Called when a new configuration or a new content in quarantine was applied."""
 
     choose_members: Callable[[raft.Replica, set[str], float], raft.Members | None] = next_members
@@ -112,14 +112,14 @@
     wake: anyio.Event = msgspec.field(default_factory=anyio.Event)
     """Set when there is work."""
 
-    told_leader: tuple[int, str] = (0, "")
+    logged_leader: tuple[int, str] = (0, "")
     """Term and leader that were logged last."""
 
     unwritten: Ready | None = None
     """Work that a full disk has not taken yet. Until it does, the node stands still: it sends
     nothing, takes nothing in, and leads nobody; what it has applied can still be read."""
 
-    no_snapshot_until: float = float("-inf")
+    snapshot_retry_at: float = float("-inf")
     """Until when no snapshot is tried, on the monotonic clock."""
 
     syncs: int = 0
@@ -135,13 +135,13 @@
         if self.disk_is_full:
             return
         raft.receive(self.replica, envelope, clock.now(), self.rng)
-        self.poke()
+        self.notify()
 
-    def poke(self) -> None:
+    def notify(self) -> None:
         """Let the loop run soon; everything that arrives until then shares one sync."""
         self.wake.set()
 
-    def note_applicant(self, member_id: str) -> None:
+    def record_applicant(self, member_id: str) -> None:
         """Note that a box asks to join, under the newest of its ids only.
 
         A box whose disk was lost asked under its old id before; with both on the list the leader
@@ -150,7 +150,7 @@
         box = box_of(member_id)
         self.applicants = {other for other in self.applicants if box_of(other) != box}
         self.applicants.add(member_id)
-        self.poke()
+        self.notify()
 
     @property
     def leader_box(self) -> str:
@@ -166,7 +166,7 @@
     timing: raft.Timing,
     snapshot_entries: int,
     send: Callable[[Envelope], None],
-    changed: Callable[[], None],
+    on_change: Callable[[], None],
     rng: random.Random,
 ) -> ControlNode:
     """Read the data folder and build the node.
@@ -178,7 +178,7 @@
         timing: Intervals of the log.
         snapshot_entries: Entries after which a snapshot is taken.
         send: Sends a message to another member.
-        changed: Called when a new configuration was applied.
+        on_change: Called when a new configuration was applied.
         rng: Source of election time-outs.
 
     Returns:
@@ -210,7 +210,7 @@
         snapshot_entries=snapshot_entries,
         rng=rng,
         send=send,
-        changed=changed,
+        on_change=on_change,
     )
 
 
@@ -225,24 +225,24 @@
     """
     while True:
         wait = raft.next_due(node.replica) - clock.now()
-        with anyio.move_on_after(min(max(wait, 0.0), TICK_LIMIT_SECONDS)):
+        with anyio.move_on_after(min(max(wait, 0.0), MAX_TICK_INTERVAL_SECONDS)):
             await node.wake.wait()
         node.wake = anyio.Event()
         while node.disk_is_full:
             await anyio.sleep(DISK_RETRY_SECONDS)
-            drain(node)
+            process_ready(node)
         now = clock.now()
         raft.tick(node.replica, now, node.rng)
         _change_members(node, now)
         raft.flush(node.replica, now)
-        drain(node)
+        process_ready(node)
 
 
-def drain(node: ControlNode) -> None:
+def process_ready(node: ControlNode) -> None:
     """Do all work that the core asks for, as far as the disk takes it."""
     while True:
         ready = node.unwritten or raft.take_ready(node.replica)
-        if not _has_work(ready) or not _write_or_keep(node, ready):
+        if not _has_work(ready) or not _try_write(node, ready):
             break
         for envelope in ready.messages:
             node.send(envelope)
@@ -253,14 +253,14 @@
             if snapshot is not None:
                 raft.offer_snapshot(node.replica, target, snapshot)
         raft.synced(node.replica, ready, clock.now(), node.rng)
-    _tell_leader(node)
+    _log_leader_change(node)
     if not node.replica.is_leader:
-        _give_up_waiters(node)
+        _release_waiters(node)
     if not node.disk_is_full:
         _take_snapshot_if_due(node)
 
 
-def _write_or_keep(node: ControlNode, ready: Ready) -> bool:
+def _try_write(node: ControlNode, ready: Ready) -> bool:
     """Write the work of the core; a full disk gets it again later.
 
     Returns:
@@ -288,13 +288,13 @@
     return True
 
 
-def _tell_leader(node: ControlNode) -> None:
+def _log_leader_change(node: ControlNode) -> None:
     """Log who leads if that has changed; an empty name means that nobody is known to."""
     known = (node.replica.term, node.replica.leader_id)
-    if known == node.told_leader:
+    if known == node.logged_leader:
         return
-    before = node.told_leader[1]
-    node.told_leader = known
+    before = node.logged_leader[1]
+    node.logged_leader = known
     if known[1] == before == "":
         return
     logger.info("leader changed", extra={"term": known[0], "leader": known[1], "before": before})
@@ -326,10 +326,10 @@
     node.state = decode_state(snapshot.data)
     node.applied_index = snapshot.index
     logger.info("restored from the leader's snapshot", extra={"index": snapshot.index})
-    node.changed()
+    node.on_change()
 
 
-def _told_state(state: ClusterState) -> tuple[int, int, int]:
+def _state_versions(state: ClusterState) -> tuple[int, int, int]:
     """Return what changes when other boxes must be told of a change of the state."""
     return state.configuration.version, state.published.version, state.quarantine.changes
 
@@ -338,17 +338,17 @@
     node.applied_index = entry.index
     result = None
     if entry.kind is raft.EntryKind.COMMAND:
-        before = _told_state(node.state)
+        before = _state_versions(node.state)
         result = apply_command(node.state, COMMAND_DECODER.decode(entry.data))
-        if before != _told_state(node.state):
-            node.changed()
+        if before != _state_versions(node.state):
+            node.on_change()
     waiter = node.waiters.pop(entry.index, None)
     if waiter is not None:
         waiter.result = result if waiter.term == entry.term else None
         waiter.done.set()
 
 
-def _give_up_waiters(node: ControlNode) -> None:
+def _release_waiters(node: ControlNode) -> None:
     for waiter in node.waiters.values():
         waiter.done.set()
     node.waiters.clear()
@@ -358,7 +358,7 @@
     log = node.replica.log
     if node.applied_index - log.base_index < node.snapshot_entries:
         return
-    if clock.now() < node.no_snapshot_until:
+    if clock.now() < node.snapshot_retry_at:
         return
     term = log.term_at(node.applied_index)
     if term is None:
@@ -376,7 +376,7 @@
         if error.problem.code is not ResultCode.DISK_FULL:
             raise
         logger.error("no room for a snapshot", extra={"detail": error.problem.detail})
-        node.no_snapshot_until = clock.now() + SNAPSHOT_RETRY_SECONDS
+        node.snapshot_retry_at = clock.now() + SNAPSHOT_RETRY_SECONDS
         return
     log.compact(node.applied_index)
     logger.info("snapshot taken", extra={"index": snapshot.index, "bytes": len(snapshot.data)})
@@ -405,20 +405,20 @@
         proposed; with CHANGE_UNKNOWN, that the command may yet be committed.
     """
     if node.disk_is_full:
-        return Failure(Problem(code=ResultCode.DISK_FULL, retry_after=RETRY_SECONDS))
+        return Failure(Problem(code=ResultCode.DISK_FULL, retry_after=RETRY_AFTER_SECONDS))
     index = raft.propose(node.replica, encode_command(command))
     if index is None:
         return Failure(
             Problem(
                 code=ResultCode.NOT_LEADER,
                 detail=f"the leader is {node.leader_box or 'not known'}",
-                retry_after=RETRY_SECONDS,
+                retry_after=RETRY_AFTER_SECONDS,
             )
         )
     waiter = Waiter(term=node.replica.term)
     node.waiters[index] = waiter
-    node.poke()
-    with anyio.move_on_after(SUBMIT_SECONDS):
+    node.notify()
+    with anyio.move_on_after(SUBMIT_TIMEOUT_SECONDS):
         await waiter.done.wait()
     node.waiters.pop(index, None)
     if waiter.result is None:
@@ -426,7 +426,7 @@
             Problem(
                 code=ResultCode.CHANGE_UNKNOWN,
                 detail="not confirmed by a majority in time; resend it under the same id",
-                retry_after=RETRY_SECONDS,
+                retry_after=RETRY_AFTER_SECONDS,
             )
         )
     return Success(waiter.result)
--- a/src/ledgeladder/daemons/control/operator_api.py
+++ b/src/ledgeladder/daemons/control/operator_api.py
@@ -26,7 +26,7 @@
 from ...routing.policy import validate_policies
 from ..clock import wall_clock_ms
 from ..http import not_found, problem_response
-from .handover import start_any_handover
+from .handover import start_handover
 from .hub import connected_boxes
 from .node import submit
 
@@ -38,7 +38,7 @@
     from .hub import Hub
     from .node import ControlNode
 
-CHANGE_LIMIT_BYTES: Final = 4 * 1024 * 1024
+MAX_CHANGE_BYTES: Final = 4 * 1024 * 1024
 """Longest change document."""
 
 
@@ -103,7 +103,7 @@
         return JSONResponse(_status(node, hub) | leader_hint())
 
     async def hand_over(request: Request, operator: str) -> Response:
-        started = start_any_handover(node)
+        started = start_handover(node)
         return JSONResponse({"started": started})
 
     async def live(request: Request) -> Response:
@@ -139,7 +139,7 @@
     body = bytearray()
     async for chunk in request.stream():
         body += chunk
-        if len(body) > CHANGE_LIMIT_BYTES:
+        if len(body) > MAX_CHANGE_BYTES:
             return Failure(Problem(code=ResultCode.BODY_TOO_LARGE))
     try:
         content = msgspec.json.decode(bytes(body))
--- a/src/ledgeladder/daemons/control/ordering.py
+++ b/src/ledgeladder/daemons/control/ordering.py
@@ -30,7 +30,7 @@
 
 logger = logging.getLogger(__name__)
 
-ROUND_SECONDS: Final = 0.25
+ORDER_INTERVAL_SECONDS: Final = 0.25
 """Time between two looks at what is to be ordered."""
 
 
@@ -43,11 +43,11 @@
         client: HTTP client.
     """
     while True:
-        await anyio.sleep(ROUND_SECONDS)
+        await anyio.sleep(ORDER_INTERVAL_SECONDS)
         if not may_act(node):
             hub.order_outcomes.clear()
             continue
-        await _take_outcomes(node, hub)
+        await _handle_outcomes(node, hub)
         await _place_next(node, hub, client)
         for name, order in pending_orders(node.state.orders).items():
             upstream = node.state.configuration.upstreams.get(name)
@@ -66,7 +66,7 @@
     if not managed or pending_orders(node.state.orders):
         return
     live: set[str] = set()
-    managed = [item for item in managed if not is_backing_off(hub.rests, item.name, clock.now())]
+    managed = [item for item in managed if not is_backing_off(hub.backoffs, item.name, clock.now())]
 
     async def check(upstream: Upstream) -> None:
         if await is_live(client, upstream.address):
@@ -83,16 +83,16 @@
         logger.info("order placed", extra={"upstream": name, "version": assignment.version})
 
 
-async def _held_by(
+async def _send_to_engine(
     hub: Hub, client: httpx.AsyncClient, upstream: Upstream, request: OrderRequest
 ) -> bool:
-    """Send an order, unless the engine rests; True if it holds what was ordered."""
-    if is_backing_off(hub.rests, upstream.name, clock.now()):
+    """Send an order, unless the engine backoffs; True if it holds what was ordered."""
+    if is_backing_off(hub.backoffs, upstream.name, clock.now()):
         return False
     try:
         return await send_order(client, upstream.address, request) is True
     except RestAskedError as error:
-        record_backoff(hub.rests, upstream.name, error.seconds, clock.now())
+        record_backoff(hub.backoffs, upstream.name, error.seconds, clock.now())
         logger.warning(
             "upstream asks for rest",
             extra={"upstream": upstream.name, "seconds": round(error.seconds, 3)},
@@ -109,7 +109,7 @@
     term = node.replica.term
     if upstream.checks_fences:
         request = make_order_request(term, order.index, order.assignment)
-        if await _held_by(hub, client, upstream, request):
+        if await _send_to_engine(hub, client, upstream, request):
             await _confirm(node, upstream.name, order.index)
         return
     gate = choose_gate(hub, upstream)
@@ -150,7 +150,7 @@
     return min(candidates, key=weight, default=None)
 
 
-async def _take_outcomes(node: ControlNode, hub: Hub) -> None:
+async def _handle_outcomes(node: ControlNode, hub: Hub) -> None:
     outcomes, hub.order_outcomes = hub.order_outcomes, []
     for outcome in outcomes:
         if outcome.done and outcome.term == node.replica.term:
--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -21,7 +21,7 @@
 from ...settings import load_registry_settings
 from ...storage import StorageError, box_of, create_identity, member_id, read_identity
 from ..content_judge import broadcast_quarantine, run_quarantine_controller
-from ..control.handover import start_any_handover
+from ..control.handover import start_handover
 from ..control.node import ControlNode, open_node, run_log
 from ..log_child import log_child
 from ..metrics_page import metrics_child
@@ -138,7 +138,7 @@
         ),
         snapshot_entries=settings.registry.snapshot_entries,
         send=send,
-        changed=changed,
+        on_change=changed,
         rng=random.Random(),
     )
     node.choose_members = lambda replica, applicants, now: next_voters(
@@ -263,7 +263,7 @@
 
 async def _hand_over(node: ControlNode) -> None:
     """Let another member lead before this one stops, and wait for it for a bounded time."""
-    if not node.replica.is_leader or not start_any_handover(node):
+    if not node.replica.is_leader or not start_handover(node):
         return
     with anyio.move_on_after(HANDOVER_TIMEOUT_SECONDS):
         while node.replica.is_leader:
--- a/src/ledgeladder/daemons/registry/peer_links.py
+++ b/src/ledgeladder/daemons/registry/peer_links.py
@@ -164,7 +164,7 @@
         case LogMessage() if is_control:
             state.node.receive(message.envelope)
         case JoinRequest() if is_control and box_of(message.member_id) == link.peer_box:
-            state.node.note_applicant(message.member_id)
+            state.node.record_applicant(message.member_id)
         case CommandRequest() if is_control:
             tasks.start_soon(handle_command_request, state, link, message)
         case RegistrationNews() if is_control:
--- a/tests/daemons/test_full_disk.py
+++ b/tests/daemons/test_full_disk.py
@@ -14,7 +14,7 @@
 
 from ledgeladder.coordination import raft
 from ledgeladder.coordination.commands import PublishCommand
-from ledgeladder.daemons.control.node import ControlNode, drain, open_node, run_log, submit
+from ledgeladder.daemons.control.node import ControlNode, open_node, process_ready, run_log, submit
 from ledgeladder.model import ResultCode
 from ledgeladder.storage import StorageError, create_identity, open_journal
 from ledgeladder.storage import journal as journal_module
@@ -54,7 +54,7 @@
         timing=raft.Timing(),
         snapshot_entries=100,
         send=send,
-        changed=lambda: None,
+        on_change=lambda: None,
         rng=random.Random(1),
     )
 
@@ -65,14 +65,14 @@
     # Its own vote counts once the silence after its start is over.
     now = replica.leader_heard_at + replica.timing.election + 0.01
     raft.tick(replica, now, node.rng)
-    drain(node)
+    process_ready(node)
     for trial in (True, False):
         for voter in replica.log.members.voters:
             if voter != replica.member_id:
                 reply = raft.VoteReply(term=1, trial=trial, granted=True)
                 envelope = raft.Envelope(sender=voter, target=replica.member_id, message=reply)
                 raft.receive(replica, envelope, now, node.rng)
-        drain(node)
+        process_ready(node)
     assert replica.is_leader
     return now
 
@@ -128,20 +128,20 @@
     disk.full = True
     assert raft.propose(node.replica, b"command") is not None
     raft.flush(node.replica, now)
-    drain(node)
+    process_ready(node)
     assert not node.replica.is_leader
     assert [type(item.message) for item in sent] == [raft.ElectNow]
     # It acknowledges nothing and grants no vote while nothing can be written.
     sent.clear()
     vote = raft.VoteRequest(term=9, last_index=9, last_term=9, trial=False, handover=True)
     node.receive(raft.Envelope(sender="b/initial", target="a/initial", message=vote))
-    drain(node)
+    process_ready(node)
     assert sent == []
     assert node.replica.term == 1
     disk.full = False
-    drain(node)
+    process_ready(node)
     node.receive(raft.Envelope(sender="b/initial", target="a/initial", message=vote))
-    drain(node)
+    process_ready(node)
     assert node.replica.term == 9
     node.journal.close()
 
--- a/tests/daemons/test_node.py
+++ b/tests/daemons/test_node.py
@@ -19,11 +19,11 @@
         timing=raft.Timing(),
         snapshot_entries=100,
         send=lambda envelope: None,
-        changed=lambda: None,
+        on_change=lambda: None,
         rng=random.Random(1),
     )
-    node.note_applicant("b/initial")
-    node.note_applicant("d/1")
-    node.note_applicant("b/2")
+    node.record_applicant("b/initial")
+    node.record_applicant("d/1")
+    node.record_applicant("b/2")
     assert node.applicants == {"b/2", "d/1"}
     node.journal.close()
