--- a/src/ledgeladder/daemons/control/handover.py
+++ b/src/ledgeladder/daemons/control/handover.py
@@ -1,4 +1,4 @@
-"""Handing the leadership over before a planned stop."""
+"""Leadership transfer before a planned stop."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 
 def start_handover(node: ControlNode) -> bool:
-    """Hand the leadership to the voter that holds most of the log."""
+    """Start to transfer the leadership to the voter with the longest replicated log.
+
+    Returns:
+        False if there is no such voter or the transfer was not started.
+    """
     replica = node.replica
     voters = [voter for voter in replica.log.members.voters if voter in replica.progress]
     if not voters:
--- a/src/ledgeladder/daemons/control/hub.py
+++ b/src/ledgeladder/daemons/control/hub.py
@@ -1,4 +1,4 @@
-"""The links of a control box: other control boxes, and the entry boxes that follow it."""
+"""Links of a control box to other control boxes and to the entry boxes that follow it."""
 
 from __future__ import annotations
 
@@ -58,23 +58,23 @@
 logger = logging.getLogger(__name__)
 
 HEAD_INTERVAL_SECONDS: Final = 2.0
-"""How often every follower is told the newest version, which heals a lost push."""
+"""Interval at which followers receive the newest version, which recovers from lost pushes."""
 
 JOIN_INTERVAL_SECONDS: Final = 0.5
-"""How often a box that is no member asks to become one."""
+"""Interval at which a box that is not a member requests to become one."""
 
 ENTRY_COMMANDS: Final = (ClaimCommand, CompleteCommand, ReleaseCommand)
-"""Commands that an entry box may ask for."""
+"""Commands that an entry box may request."""
 
 REPORT_TTL_SECONDS: Final = 10.0
-"""How long a box counts as connected after it last reported."""
+"""How long a box counts as connected after its last report."""
 
 
 class KnownBox(msgspec.Struct, kw_only=True):
-    """What is known of one entry box."""
+    """Last report of one entry box."""
 
     in_force: InForce
-    """Its newest report."""
+    """The report."""
 
     seen_at: float
     """When it was received, on the monotonic clock."""
@@ -84,47 +84,48 @@
     """All links of one control box."""
 
     peers: dict[str, Link] = msgspec.field(default_factory=dict)
-    """Outgoing links to other control boxes, by box; messages are only sent on these."""
+    """Outgoing links to other control boxes, by box. They are only used for sending."""
 
     follower_links: dict[int, Link] = msgspec.field(default_factory=dict)
-    """Links of entry boxes that follow this box's configuration, by identity."""
+    """Links of entry boxes that follow this box's configuration, by `id()` of the link."""
 
     order_outcomes: list[OrderOutcome] = msgspec.field(default_factory=list)
-    """What gates said of orders and nobody has looked at yet."""
+    """Outcomes of orders that gates reported and that are not handled yet."""
 
     backoffs: Backoffs = msgspec.field(default_factory=Backoffs)
-    """Engines that asked this box for rest, by name."""
+    """Back-off that engines requested from this box, by engine name."""
 
     boxes: dict[str, KnownBox] = msgspec.field(default_factory=dict)
     """Entry boxes by name, connected here or reported by another control box."""
 
     quarantine_controller: QuarantineController | None = None
-    """What this box knows of contents under which upstreams end; None before the node is built."""
+    """Quarantines request contents that crash upstreams; None until the node is built."""
 
     rate_granter: RateGranter | None = None
-    """Limits that upstreams name, and what it lends of them; None before the node is built."""
+    """Rate limits of upstreams, and this box's grants; None until the node is built."""
 
     local_boxes: dict[str, InForce] = msgspec.field(default_factory=dict)
     """Entry boxes connected here."""
 
 
 def send_to_member(hub: Hub, envelope: Envelope) -> None:
-    """Send a message of the log over the link to its target's box, or drop it."""
+    """Send a message of the replicated log to its target's box, or drop it if there is no link."""
     link = hub.peers.get(box_of(envelope.target))
     if link is not None:
         link.post(LogMessage(envelope=envelope))
 
 
 def quarantine_controller_of(hub: Hub) -> QuarantineController:
-    """Return what a control box knows of contents under which upstreams end."""
+    """Return the quarantine controller, which must have been built."""
     assert hub.quarantine_controller is not None
     return hub.quarantine_controller
 
 
 def build_quarantine_controller(hub: Hub, node: ControlNode) -> QuarantineController:
-    """Return what judges contents with the links of a control box.
+    """Build the quarantine controller with the links of a control box.
 
-    Entry boxes tell each end under a name of its own, and only where nobody listened any more.
+    It counts each reported crash as confirmed: entry boxes report every crash under an instance
+    name of its own, and only if nothing listened on the upstream's address any more.
     """
     return QuarantineController(
         node=node,
@@ -135,13 +136,13 @@
 
 
 def rate_granter_of(hub: Hub) -> RateGranter:
-    """Return what a control box knows of limits that upstreams name."""
+    """Return the rate granter, which must have been built."""
     assert hub.rate_granter is not None
     return hub.rate_granter
 
 
 def build_rate_granter(hub: Hub, node: ControlNode) -> RateGranter:
-    """Return what lends requests with the links of a control box."""
+    """Build the rate granter with the links of a control box."""
     return RateGranter(
         parts=lambda: len(node.replica.log.members.voters),
         may_grant=lambda: _may_grant(node),
@@ -151,7 +152,7 @@
 
 
 def _may_grant(node: ControlNode) -> bool:
-    """Tell whether a box is a voter and has heard so lately."""
+    """Return whether this box leads under a lease, or is a voter with recent leader contact."""
     replica = node.replica
     if replica.is_leader:
         return holds_lease(replica, clock.now())
@@ -159,7 +160,7 @@
 
 
 def push_configuration(hub: Hub, node: ControlNode) -> None:
-    """Send the newest change to every follower, and which contents are sent nowhere."""
+    """Send the newest change and the quarantined contents to every follower."""
     if hub.quarantine_controller is not None:
         broadcast_quarantine(hub.quarantine_controller)
     for link in hub.follower_links.values():
@@ -167,7 +168,10 @@
 
 
 async def send_heads(hub: Hub, node: ControlNode) -> None:
-    """Tell followers the newest version, and other control boxes who follows here, for ever."""
+    """Send the newest version to followers, and reports of them to other control boxes.
+
+    Runs until cancelled.
+    """
     known, known_digest = None, b""
     while True:
         await anyio.sleep(HEAD_INTERVAL_SECONDS)
@@ -183,7 +187,7 @@
 
 
 async def serve_peer_link(hub: Hub, node: ControlNode, box: str, link: Link) -> None:
-    """Keep an outgoing link to another control box for sending, and ask to join over it."""
+    """Serve an outgoing link to another control box, and request membership over it if needed."""
     hub.peers[box] = link
     try:
         async with anyio.create_task_group() as tasks:
@@ -203,12 +207,12 @@
 
 
 async def serve_accepted_link(hub: Hub, node: ControlNode, known: set[str], link: Link) -> None:
-    """Serve a link that another process opened.
+    """Serve a link that another process opened, until it closes.
 
     Args:
         hub: The links.
         node: The node.
-        known: Names of the control boxes of the cluster.
+        known: Names of the cluster's control boxes.
         link: The link.
     """
     async with anyio.create_task_group() as tasks:
@@ -256,7 +260,7 @@
 
 
 def receive_log_message(node: ControlNode, message: LogMessage) -> None:
-    """Give a message of the log to the core."""
+    """Pass a message of the replicated log to the node."""
     node.receive(message.envelope)
 
 
@@ -265,7 +269,7 @@
     hub.local_boxes[in_force.box] = in_force
     _record_boxes(hub, (in_force,))
     if changed:
-        # Told to the others at once, so that an operator who waits for a change sees it soon.
+        # Reported without delay: an operator may be waiting for the change to arrive.
         for peer in hub.peers.values():
             peer.post(InForceReport(boxes=(in_force,)))
 
@@ -306,12 +310,12 @@
 
 async def _handle_command_request(node: ControlNode, link: Link, request: CommandRequest) -> None:
     if not isinstance(request.command, ENTRY_COMMANDS):
-        # Changes and orders come from operators and from the leader itself, never over a link.
+        # Changes and orders originate from operators and the leader, never from a link.
         logger.warning("command refused", extra={"peer": link.peer_box})
         reply = CommandReply(call=request.call, result=None, code=ResultCode.FRAME_INVALID)
         link.post(reply)
         return
-    # The leader's clock counts, so that an entry box with a wrong clock cannot expire keys.
+    # Uses the leader's clock: an entry box with a wrong clock must not expire keys.
     command = msgspec.structs.replace(request.command, time_ms=wall_clock_ms())
     outcome = await submit(node, command)
     if isinstance(outcome, Success):
@@ -323,7 +327,7 @@
 
 
 def connected_boxes(hub: Hub, now: float) -> dict[str, InForce]:
-    """Return the entry boxes that reported lately, anywhere."""
+    """Return the newest report of each entry box connected to any control box."""
     return {
         name: known.in_force
         for name, known in hub.boxes.items()
--- a/src/ledgeladder/daemons/control/main.py
+++ b/src/ledgeladder/daemons/control/main.py
@@ -1,4 +1,4 @@
-"""The control process: one member of the replicated log and its two servers."""
+"""The control process: one member of the replicated log, a link server and an operator server."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 logger = logging.getLogger(__name__)
 
 LEASE_FRACTION = 0.8
-"""Lease as a share of the election time-out; the rest is room for clocks that drift apart."""
+"""Lease as a fraction of the election timeout. The rest is a margin for clock drift."""
 
 HANDOVER_TIMEOUT_SECONDS = 2.0
-"""How long a planned stop waits for another leader."""
+"""How long a planned stop waits for the leadership transfer."""
 
 
 def format_folder(settings: ControlSettings) -> None:
@@ -63,25 +63,27 @@
 def build_node(settings: ControlSettings, hub: Hub) -> ControlNode:
     """Open the data folder and build the node.
 
-    A folder that is empty belongs to a box whose disk was lost, or to a new box: it gets an
-    identity of its own and joins as a learner. Only `control format` makes an initial voter.
+    A box with an empty folder is new or has lost its disk. It gets a new identity and joins as a
+    learner. Only `control format` creates an initial voter.
 
     Args:
         settings: Settings of the box.
-        hub: Its links.
+        hub: Links of the box.
 
     Returns:
         The node.
 
     Raises:
-        StorageError: If the folder cannot be trusted.
+        StorageError: If the folder is damaged or belongs to another box, or the disk fails.
     """
     folder = settings.control.data_folder
     cluster, box = settings.cluster.name, settings.box.name
     identity = read_identity(folder, cluster=cluster, box=box)
     if identity is None:
         identity = create_identity(folder, cluster=cluster, box=box, initial=False)
-        logger.warning("empty data folder: joining", extra={"member": identity.member_id})
+        logger.warning(
+            "data folder is empty; joining as a learner", extra={"member": identity.member_id}
+        )
     voters: tuple[str, ...] = ()
     if identity.incarnation == INITIAL_INCARNATION:
         voters = tuple(member_id(peer.name, INITIAL_INCARNATION) for peer in settings.controls)
@@ -105,13 +107,13 @@
 
 
 async def run_control(settings: ControlSettings) -> None:
-    """Run a control process until it is told to stop.
+    """Run a control process until it receives a stop signal.
 
     Args:
         settings: Settings of the box.
 
     Raises:
-        StorageError: If the data folder cannot be trusted or the disk fails.
+        StorageError: If the data folder is damaged or belongs to another box, or the disk fails.
     """
     hub = Hub()
     node = build_node(settings, hub)
--- a/src/ledgeladder/daemons/control/members.py
+++ b/src/ledgeladder/daemons/control/members.py
@@ -1,4 +1,4 @@
-"""Who should be a member of the replicated log next."""
+"""Choice of membership changes of the replicated log."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
     from collections.abc import Collection
 
 LEARNER_SEEN_SECONDS = 1.0
-"""A learner that answered within this time may be promoted."""
+"""A learner is promoted only if it replied within this time."""
 
 
 def next_members(
     replica: raft.Replica, applicants: Collection[str], now: float
 ) -> raft.Members | None:
-    """Choose the next single change of members, if one is due.
+    """Choose the next single-server membership change, if one is due.
 
-    A box that returns under a new member id takes the place of its old id: the old voter is
-    removed and the new one added as a learner. A learner becomes a voter once it holds everything
-    that is committed, so that a vote never rests on an empty disk.
+    A box that requests to join under a new member id replaces its old id: the old member is removed
+    and the new one is added as a learner. A learner becomes a voter once it has all committed
+    entries, since a voter with an empty disk could elect a leader that lacks them.
 
     Args:
         replica: The leader.
-        applicants: Member ids that asked to join.
+        applicants: Member ids that requested to join.
         now: Monotonic time in seconds.
 
     Returns:
-        The whole new set, or None if nothing is due.
+        The complete new membership, or None if no change is due.
     """
     members = replica.log.members
     for learner in members.learners:
--- a/src/ledgeladder/daemons/control/node.py
+++ b/src/ledgeladder/daemons/control/node.py
@@ -1,4 +1,4 @@
-"""The driver of one member of the replicated log: disk, state machine, waiting callers."""
+"""Drives one member of the replicated log: its disk, state machine and waiting callers."""
 
 from __future__ import annotations
 
@@ -42,110 +42,111 @@
 logger = logging.getLogger(__name__)
 
 MAX_TICK_INTERVAL_SECONDS: Final = 0.5
-"""Longest time without a look at the clock; messages wake the loop in between."""
+"""Maximum interval between ticks; messages wake the loop in between."""
 
 SUBMIT_TIMEOUT_SECONDS: Final = 5.0
-"""How long the caller of a command waits for its commitment."""
+"""How long a caller waits for its command to be committed."""
 
 DISK_RETRY_SECONDS: Final = 0.25
-"""How often a full disk is tried again; a failed write costs next to nothing."""
+"""Interval at which a write to a full disk is retried; a failed write is cheap."""
 
 SNAPSHOT_RETRY_SECONDS: Final = 5.0
-"""How long a snapshot for which the disk had no room waits; it can be large."""
+"""Delay after which a snapshot is retried on a full disk, longer since it can be large."""
 
 RETRY_AFTER_SECONDS: Final = 1.0
-"""When to come back after a refusal for want of a leader."""
+"""Retry delay that a refused caller receives."""
 
 
 class Waiter(msgspec.Struct, kw_only=True):
-    """Somebody who waits for a command at one index."""
+    """A caller that waits for the command at one log index."""
 
     term: int
-    """Term in which it was proposed; another term at the index means that it was replaced."""
+    """Term in which the command was proposed; another term at the index means that it was
+    replaced."""
 
     done: anyio.Event = msgspec.field(default_factory=anyio.Event)
     """Set once the outcome is known."""
 
     result: CommandResult | None = None
-    """The result, or None if it is not known whether the command was committed."""
+    """Result of the command, or None if it is unknown whether it was committed."""
 
 
 class ControlNode(msgspec.Struct, kw_only=True):
-    """One control box's share of the cluster's state."""
+    """One control box's replica of the cluster state."""
 
     identity: Identity
-    """Whose disk this is."""
+    """Identity of the data folder."""
 
     replica: raft.Replica
     """The member of the replicated log."""
 
     journal: Journal
-    """Its disk."""
+    """Its log on disk."""
 
     state: ClusterState
-    """The state machine after `applied_index`."""
+    """State machine as of `applied_index`."""
 
     applied_index: int
-    """Last entry applied."""
+    """Index of the last applied entry."""
 
     snapshot_entries: int
-    """Entries after which a snapshot is taken."""
+    """Number of applied entries after which a snapshot is taken."""
 
     rng: random.Random
-    """Source of election time-outs."""
+    """Random source of election timeouts."""
 
     send: Callable[[Envelope], None]
-    """Sends a message to another member, or drops it."""
+    """Sends a message to another member, or drops it if there is no link."""
 
     on_change: Callable[[], None]
-    """Called when a new configuration or a new content in quarantine was applied."""
+    """Called when a new configuration or quarantine entry was applied."""
 
     choose_members: Callable[[raft.Replica, set[str], float], raft.Members | None] = next_members
-    """Chooses the next change of members from the log, the applicants and the time."""
+    """Chooses the next membership change from the replica, the applicants and the time."""
 
     waiters: dict[int, Waiter] = msgspec.field(default_factory=dict)
-    """Who waits for which index."""
+    """Waiting callers by log index."""
 
     applicants: set[str] = msgspec.field(default_factory=set)
-    """Members that asked to join since this box last began to lead."""
+    """Members that requested to join since this box last became the leader."""
 
     wake: anyio.Event = msgspec.field(default_factory=anyio.Event)
-    """Set when there is work."""
+    """Set when the loop has work."""
 
     logged_leader: tuple[int, str] = (0, "")
-    """Term and leader that were logged last."""
+    """Term and leader in the last log line about them."""
 
     unwritten: Ready | None = None
-    """Work that a full disk has not taken yet. Until it does, the node stands still: it sends
-    nothing, takes nothing in, and leads nobody; what it has applied can still be read."""
+    """Work that could not be written to a full disk yet. Until it is, the node pauses: it neither
+    sends nor receives messages and does not lead. The applied state remains readable."""
 
     snapshot_retry_at: float = float("-inf")
-    """Until when no snapshot is tried, on the monotonic clock."""
+    """Time before which no snapshot is attempted, on the monotonic clock."""
 
     syncs: int = 0
     """Number of synced writes, for the metrics page."""
 
     @property
     def disk_is_full(self) -> bool:
-        """True while the disk takes nothing."""
+        """True while a write waits for disk space."""
         return self.unwritten is not None
 
     def receive(self, envelope: Envelope) -> None:
-        """Take in a message of another member; a node whose disk is full loses it."""
+        """Pass a message of another member to the replica, or drop it while the disk is full."""
         if self.disk_is_full:
             return
         raft.receive(self.replica, envelope, clock.now(), self.rng)
         self.notify()
 
     def notify(self) -> None:
-        """Let the loop run soon; everything that arrives until then shares one sync."""
+        """Wake the loop. All messages that arrive before it runs share one sync."""
         self.wake.set()
 
     def record_applicant(self, member_id: str) -> None:
-        """Note that a box asks to join, under the newest of its ids only.
+        """Record that a box requests to join, under its newest member id only.
 
-        A box whose disk was lost asked under its old id before; with both on the list the leader
-        would swap them for each other for ever.
+        A box whose disk was lost may have requested to join under its old id before. With both
+        recorded, the leader would replace each with the other endlessly.
         """
         box = box_of(member_id)
         self.applicants = {other for other in self.applicants if box_of(other) != box}
@@ -154,7 +155,7 @@
 
     @property
     def leader_box(self) -> str:
-        """Box that leads, if known."""
+        """Box of the leader, or an empty string if it is unknown."""
         return box_of(self.replica.leader_id)
 
 
@@ -175,17 +176,17 @@
         identity: Identity of the folder.
         folder: Data folder.
         initial_members: Members of a cluster without a snapshot; empty for a box that must join.
-        timing: Intervals of the log.
-        snapshot_entries: Entries after which a snapshot is taken.
+        timing: Intervals of the replicated log.
+        snapshot_entries: Number of applied entries after which a snapshot is taken.
         send: Sends a message to another member.
-        on_change: Called when a new configuration was applied.
-        rng: Source of election time-outs.
+        on_change: Called when a new configuration or quarantine entry was applied.
+        rng: Random source of election timeouts.
 
     Returns:
         The node.
 
     Raises:
-        StorageError: If the folder cannot be trusted.
+        StorageError: If the folder is damaged or the disk fails.
     """
     journal, recovered = open_journal(folder)
     if recovered.cut_bytes:
@@ -215,10 +216,10 @@
 
 
 async def run_log(node: ControlNode) -> None:
-    """Drive the log until cancelled.
+    """Drive the replicated log until cancelled.
 
-    The sync runs on the loop on purpose: a leader whose disk hangs must not go on sending
-    heartbeats, or it would lead without being able to commit.
+    The sync blocks the event loop on purpose. A leader whose disk hangs must stop sending
+    heartbeats; otherwise it would keep the leadership without being able to commit.
 
     Args:
         node: The node.
@@ -239,7 +240,7 @@
 
 
 def process_ready(node: ControlNode) -> None:
-    """Do all work that the core asks for, as far as the disk takes it."""
+    """Process the replica's pending work until there is none or the disk is full."""
     while True:
         ready = node.unwritten or raft.take_ready(node.replica)
         if not _has_work(ready) or not _try_write(node, ready):
@@ -261,11 +262,12 @@
 
 
 def _try_write(node: ControlNode, ready: Ready) -> bool:
-    """Write the work of the core; a full disk gets it again later.
+    """Write the replica's pending work, and retain it for a retry if the disk is full.
 
     Returns:
-        False if the disk is full. Then the node leads no more: it asks the member that holds most
-        of the log to stand, and others will if that message is lost.
+        False if the disk is full. The node then gives up the leadership and asks the member with
+        the longest log to start an election. If that message is lost, an election follows after
+        the timeout.
 
     Raises:
         StorageError: If the disk fails otherwise.
@@ -283,13 +285,13 @@
         node.unwritten = ready
         return False
     if node.disk_is_full:
-        logger.warning("disk has room again", extra={"index": node.replica.log.last_index})
+        logger.warning("disk has space again", extra={"index": node.replica.log.last_index})
     node.unwritten = None
     return True
 
 
 def _log_leader_change(node: ControlNode) -> None:
-    """Log who leads if that has changed; an empty name means that nobody is known to."""
+    """Log a change of the leader; an empty name means that none is known."""
     known = (node.replica.term, node.replica.leader_id)
     if known == node.logged_leader:
         return
@@ -325,12 +327,12 @@
 def _restore(node: ControlNode, snapshot: Snapshot) -> None:
     node.state = decode_state(snapshot.data)
     node.applied_index = snapshot.index
-    logger.info("restored from the leader's snapshot", extra={"index": snapshot.index})
+    logger.info("restored the state from a snapshot of the leader", extra={"index": snapshot.index})
     node.on_change()
 
 
 def _state_versions(state: ClusterState) -> tuple[int, int, int]:
-    """Return what changes when other boxes must be told of a change of the state."""
+    """Return the versions of the parts of the state that are pushed to other boxes."""
     return state.configuration.version, state.published.version, state.quarantine.changes
 
 
@@ -375,7 +377,7 @@
     except StorageError as error:
         if error.problem.code is not ResultCode.DISK_FULL:
             raise
-        logger.error("no room for a snapshot", extra={"detail": error.problem.detail})
+        logger.error("not enough disk space for a snapshot", extra={"detail": error.problem.detail})
         node.snapshot_retry_at = clock.now() + SNAPSHOT_RETRY_SECONDS
         return
     log.compact(node.applied_index)
@@ -394,15 +396,15 @@
 
 
 async def submit(node: ControlNode, command: Command) -> Result[CommandResult, Problem]:
-    """Commit a command through the log.
+    """Commit a command through the replicated log.
 
     Args:
-        node: The node, which must lead.
+        node: The node, which must be the leader.
         command: The command.
 
     Returns:
         The command's result. A problem with code NOT_LEADER or DISK_FULL means that nothing was
-        proposed; with CHANGE_UNKNOWN, that the command may yet be committed.
+        proposed; with CHANGE_UNKNOWN, that the command may still be committed.
     """
     if node.disk_is_full:
         return Failure(Problem(code=ResultCode.DISK_FULL, retry_after=RETRY_AFTER_SECONDS))
--- a/src/ledgeladder/daemons/control/operator_api.py
+++ b/src/ledgeladder/daemons/control/operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface of a control box."""
+"""HTTP API of a control box for operators."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     from .node import ControlNode
 
 MAX_CHANGE_BYTES: Final = 4 * 1024 * 1024
-"""Longest change document."""
+"""Maximum size of a change document."""
 
 
 def build_operator_app(settings: ControlSettings, node: ControlNode, hub: Hub) -> Starlette:
@@ -47,8 +47,8 @@
 
     Args:
         settings: Settings of the control box.
-        node: Its share of the state.
-        hub: Its links.
+        node: Replica of the cluster state.
+        hub: Links of the box.
 
     Returns:
         The application.
@@ -158,16 +158,16 @@
 ) -> Result[ChangeResult, Problem]:
     """Check a change against the current version and commit it.
 
-    The check holds at commitment too: the state machine accepts the change only if its base is
-    still the current version, which is the one it was checked against.
+    The check remains valid until the commit: the state machine accepts the change only if its base
+    is still the current version, against which it was checked.
 
     Args:
-        node: The leading node.
+        node: The leader's node.
         change: The change.
-        operator: Who asks.
+        operator: Name of the operator.
 
     Returns:
-        The accepted result, or why it was refused. Refusals are recorded in the audit trail.
+        The accepted result, or the reason for the refusal. Refusals are recorded in the audit log.
     """
     state = node.state
     if previous_result(state, change) is None and check_base_version(state, change) is None:
--- a/src/ledgeladder/daemons/control/ordering.py
+++ b/src/ledgeladder/daemons/control/ordering.py
@@ -1,4 +1,4 @@
-"""Placing and sending orders to engines while this box leads."""
+"""Places orders and sends them to engines while this box leads."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 logger = logging.getLogger(__name__)
 
 ORDER_INTERVAL_SECONDS: Final = 0.25
-"""Time between two looks at what is to be ordered."""
+"""Interval between rounds of placing and sending orders."""
 
 
 async def run_orders(node: ControlNode, hub: Hub, client: httpx.AsyncClient) -> None:
-    """Place orders and send those that are not confirmed, for ever.
+    """Place orders and send unconfirmed ones; runs until cancelled.
 
     Args:
         node: The node.
-        hub: Its links, over which gates are reached.
+        hub: Links of the box, over which gates are reached.
         client: HTTP client.
     """
     while True:
@@ -56,7 +56,7 @@
 
 
 def may_act(node: ControlNode) -> bool:
-    """Tell whether this box leads under a lease right now."""
+    """Return whether this box currently leads under a lease."""
     return raft.holds_lease(node.replica, clock.now())
 
 
@@ -86,7 +86,7 @@
 async def _send_to_engine(
     hub: Hub, client: httpx.AsyncClient, upstream: Upstream, request: OrderRequest
 ) -> bool:
-    """Send an order, unless the engine backoffs; True if it holds what was ordered."""
+    """Send an order unless the engine is backing off, and return whether it was carried out."""
     if is_backing_off(hub.backoffs, upstream.name, clock.now()):
         return False
     try:
@@ -94,7 +94,7 @@
     except RestAskedError as error:
         record_backoff(hub.backoffs, upstream.name, error.seconds, clock.now())
         logger.warning(
-            "upstream asks for rest",
+            "upstream requested back-off",
             extra={"upstream": upstream.name, "seconds": round(error.seconds, 3)},
         )
         return False
@@ -103,7 +103,10 @@
 async def _send(
     node: ControlNode, hub: Hub, client: httpx.AsyncClient, upstream: Upstream, order: Order
 ) -> None:
-    """Send one order; the lease is looked at after every wait and right before the send."""
+    """Send one order to the engine or its gate.
+
+    The lease is checked after every wait and right before the order is sent.
+    """
     if not may_act(node):
         return
     term = node.replica.term
@@ -125,10 +128,10 @@
 
 
 def choose_gate(hub: Hub, upstream: Upstream) -> Link | None:
-    """Choose the entry box that passes orders on to an engine that does not check fences.
+    """Choose the entry box that forwards orders to an engine that does not check fences.
 
-    Rendezvous hashing over the boxes of the engine's failure domain: every leader chooses the same
-    one while the same boxes are up.
+    Uses rendezvous hashing over the boxes of the engine's failure domain. Every leader chooses the
+    same box as long as the same boxes are connected.
 
     Args:
         hub: The links.
--- a/src/ledgeladder/daemons/limit_keeper.py
+++ b/src/ledgeladder/daemons/limit_keeper.py
@@ -79,19 +79,24 @@
 
 
 def record_advertised_rate(
-    limiter: RateLimiter, upstream: str, named: NamedRate | None, sent_at: float, *, is_own: bool
+    limiter: RateLimiter,
+    upstream: str,
+    advertised: NamedRate | None,
+    sent_at: float,
+    *,
+    is_own: bool,
 ) -> None:
     """Record the rate that an upstream advertises in a response, or that it advertises none.
 
     Args:
         limiter: The limiter.
         upstream: The upstream.
-        named: The advertised rate.
+        advertised: The advertised rate.
         sent_at: When the request was sent, on the monotonic clock.
         is_own: Whether the response is certain to come from the upstream itself. Only then does a
             response without a rate withdraw the limit.
     """
-    rate = math.inf if named is None else named.rate
+    rate = math.inf if advertised is None else advertised.rate
     if rate is None:
         # The advertised value is invalid, and does not withdraw an earlier one.
         return
--- a/tests/daemons/test_control_faults.py
+++ b/tests/daemons/test_control_faults.py
@@ -1,4 +1,4 @@
-"""Faults of control boxes: lost disks, frozen leaders, racing operators, restarts of everything."""
+"""Faults of control boxes: lost disks, paused leaders, concurrent operators, full restarts."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def submit(fleet: Fleet, change: dict[str, Any], seconds: float = 20.0) -> dict[str, Any]:
-    """Send a change until some leader decides it, as an operator whose answers get lost."""
+    """Send a change until a leader decides it, as an operator whose responses are lost."""
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
         for name in fleet.control_names:
@@ -86,7 +86,7 @@
 
 
 def test_disk_lost_and_another_voter_killed_at_once(fresh: Fleet) -> None:
-    """The repaired box must not complete a majority before it holds what was accepted."""
+    """The repaired box must not complete a majority before it has the accepted changes."""
     lost = next(name for name in fresh.control_names if name != fresh.wait_leader())
     fresh.kill(lost)
     accepted = submit(fresh, priority_change("only-on-two", version(fresh), 7))
@@ -96,7 +96,7 @@
     fresh.kill(leader)
     fresh.launch(lost)
     time.sleep(3)
-    # The empty box and the one that is left make no majority: nothing may be decided.
+    # The empty box and the remaining one are no majority: nothing may be decided.
     assert fresh.leader() is None
     fresh.launch(leader)
     assert version(fresh) == accepted["version"]
@@ -123,7 +123,7 @@
         assert answer["version"] == base + 1
     finally:
         fresh.signal(leader, signal.SIGCONT)
-    # Sent to the thawed box at once: it must not accept a change on the old version.
+    # Sent to the resumed box immediately: it must not accept a change on the old version.
     late = fresh.operator(leader, "/v1/changes", priority_change("after-thaw", base, 4)).json()
     assert late["error"]["type"] in (
         "not_leader",
@@ -157,7 +157,7 @@
     ]
     assert len(accepted) == 1
     for first, second in answers.values():
-        # The second sending gets the first answer again.
+        # The second submission gets the same response.
         assert first.get("version") == second.get("version")
         assert first.get("error", {}).get("type") == second.get("error", {}).get("type")
     assert version(fresh) == base + 1
--- a/tests/daemons/test_limited_upstreams.py
+++ b/tests/daemons/test_limited_upstreams.py
@@ -1,8 +1,6 @@
-"""Upstreams that name how many requests a second they take, over the product's own interface.
+"""Upstreams that advertise a rate limit, over the product's own interface.
 
-The same cause as on the platform: no code read the figure that answers name, and each entry box
-went on choosing by load alone. Proof: the runs that an upstream counts, over all entries, against
-the figure.
+The requests that an upstream receives from all entries together must not exceed the rate.
 """
 
 from __future__ import annotations
@@ -23,19 +21,19 @@
 from .test_resting_upstreams import code_of, first_engines, services
 
 RATE = 0.5
-"""Requests a second that are named."""
+"""Advertised rate, in requests a second."""
 
 SETTLE_SECONDS = 3.0
-"""How long boxes have to learn of it."""
+"""How long boxes have to learn the limit."""
 
-SPAN_SECONDS = 4.0
-"""Length of the span in which requests are counted."""
+INTERVAL_SECONDS = 4.0
+"""Length of the interval in which requests are counted."""
 
-MOST = 1.5 * RATE * SPAN_SECONDS + 5
-"""Requests that may arrive in it."""
+MAX_REQUESTS = 1.5 * RATE * INTERVAL_SECONDS + 5
+"""Maximum number of requests in that interval."""
 
 LIMITED = 1208
-"""Result code of a request that the upstreams for it take no more of."""
+"""Result code of a request that is refused because of rate limits."""
 
 ENTRIES = ("entry-a1", "entry-b1", "entry-c1")
 
@@ -48,27 +46,27 @@
 
 @pytest.fixture(autouse=True)
 def unlimited(fleet: Fleet) -> Iterator[None]:
-    """Upstreams that name nothing after the test, and boxes that have heard so."""
+    """Remove all limits after the test, and wait until the entries have learned it."""
     yield
-    name_limit(fleet, [*services(fleet), *first_engines(fleet)], "")
+    advertise_limit(fleet, [*services(fleet), *first_engines(fleet)], "")
     for _names, send in KINDS.values():
         wait_until(partial(all_served, fleet, send), 30, "served")
 
 
 def all_served(fleet: Fleet, send: Send) -> bool:
-    """Tell whether several requests in a row are served at each entry."""
+    """Return whether several consecutive requests are served at each entry."""
     return all(send(fleet, entry).status_code == 200 for _ in range(8) for entry in ENTRIES)
 
 
-def name_limit(fleet: Fleet, names: list[str], limit: str) -> None:
-    """Have upstreams name a limit in their answers, or none."""
+def advertise_limit(fleet: Fleet, names: list[str], limit: str) -> None:
+    """Make upstreams advertise a limit in their responses, or none."""
     for name in names:
-        named = ([limit] if limit else []) if name.startswith("service-") else limit
-        fleet.client.post(f"{fleet.url(name)}/standin/control", json={"limit": named})
+        advertised = ([limit] if limit else []) if name.startswith("service-") else limit
+        fleet.client.post(f"{fleet.url(name)}/standin/control", json={"limit": advertised})
 
 
-def runs(fleet: Fleet, name: str) -> int:
-    """Return how many requests an upstream has begun as the first of its path."""
+def started_requests(fleet: Fleet, name: str) -> int:
+    """Return how many requests an upstream has started as the first of its path."""
     stats = fleet.client.get(f"{fleet.url(name)}/standin/stats").json()
     return int(stats.get("counts", stats).get("runs", 0))
 
@@ -80,11 +78,11 @@
     "repeatable": (services, lambda fleet, entry: call(fleet, entry, "again", repeatable=True)),
     "once": (services, lambda fleet, entry: call(fleet, entry, "again", repeatable=False)),
 }
-"""Upstreams of each kind of request, and how it is sent."""
+"""Upstreams and send function by kind of request."""
 
 
 def send_over_all(fleet: Fleet, send: Send, seconds: float) -> list[int]:
-    """Send requests through all entries side by side; returns the statuses of the answers."""
+    """Send requests through all entries concurrently, and return the response statuses."""
     until = time.monotonic() + seconds
     statuses: list[int] = []
 
@@ -103,24 +101,24 @@
 
 @pytest.mark.parametrize("kind", list(KINDS))
 def test_limit_is_kept_by_all_entries_together(fleet: Fleet, kind: str) -> None:
-    """The pattern: callers come at all entries; one upstream names 0.5 a second and serves on."""
+    """Callers at all entries share the limit of one upstream; requests over it go to others."""
     names, send = KINDS[kind]
     limited = names(fleet)[0]
-    name_limit(fleet, [limited], str(RATE))
+    advertise_limit(fleet, [limited], str(RATE))
     send_over_all(fleet, send, SETTLE_SECONDS)
-    before = runs(fleet, limited)
-    statuses = send_over_all(fleet, send, SPAN_SECONDS)
-    assert runs(fleet, limited) - before <= MOST
+    before = started_requests(fleet, limited)
+    statuses = send_over_all(fleet, send, INTERVAL_SECONDS)
+    assert started_requests(fleet, limited) - before <= MAX_REQUESTS
     assert set(statuses) == {200}
 
 
 @pytest.mark.parametrize("kind", list(KINDS))
-def test_request_is_refused_at_once_while_all_upstreams_take_no_more(
+def test_request_is_refused_at_once_while_all_upstreams_are_at_their_limit(
     fleet: Fleet, kind: str
 ) -> None:
     names, send = KINDS[kind]
     limited = names(fleet)
-    name_limit(fleet, limited, "0.1")
+    advertise_limit(fleet, limited, "0.1")
     answers: list[httpx.Response] = []
 
     def is_refused() -> bool:
--- a/tests/daemons/test_node.py
+++ b/tests/daemons/test_node.py
@@ -1,4 +1,4 @@
-"""Boxes that ask to join the replicated log."""
+"""Boxes that request to join the replicated log."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def test_box_is_an_applicant_under_its_newest_id_only(tmp_path: Path) -> None:
-    """With both ids on the list a leader swapped them for each other for ever."""
+    """With both ids recorded, a leader would replace each with the other endlessly."""
     node = open_node(
         identity=create_identity(tmp_path, cluster="c", box="a", initial=True),
         folder=tmp_path,
--- a/tests/daemons/test_orders.py
+++ b/tests/daemons/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, with and without fences, while leaders are frozen and thawed."""
+"""Orders to engines, with and without fence checks, while leaders are paused and resumed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture(scope="module")
 def mixed() -> Iterator[Fleet]:
-    """Half of the engines do not check fences."""
+    """Run a fleet in which half of the engines do not check fences."""
     engines = [
         dataclasses.replace(spec, ignore_fences=spec.name.startswith("slow"))
         for spec in default_engines()
@@ -31,7 +31,7 @@
     return {engine_stats(fleet, spec.name)["version"] for spec in fleet.engines}
 
 
-def test_new_version_everywhere_without_a_cut_answer(mixed: Fleet) -> None:
+def test_version_rollout_interrupts_no_stream(mixed: Fleet) -> None:
     assert mixed.configure("v1").returncode == 0
     streams = [
         Stream(fleet=mixed, entry=entry, prompt=f"load {entry} {number}", count=60)
@@ -44,8 +44,8 @@
         assert stream.whole, stream.error
 
 
-def freeze_leader_with_an_order_in_hand(fleet: Fleet) -> str:
-    """Freeze the leader while an order of its own waits for an engine."""
+def pause_leader_with_a_pending_order(fleet: Fleet) -> str:
+    """Pause the leader while one of its orders is pending, and return its name."""
 
     def pending() -> bool:
         status = fleet.status(fleet.wait_leader())
@@ -61,7 +61,7 @@
     for round_number in range(3):
         old, new = f"w{round_number}", f"x{round_number}"
         assert mixed.configure(old).returncode == 0
-        leader = freeze_leader_with_an_order_in_hand(mixed)
+        leader = pause_leader_with_a_pending_order(mixed)
         try:
             others = [name for name in mixed.control_names if name != leader]
             wait_until(partial(one_leads, mixed, others), 20, "another leader")
