--- a/src/ledgeladder/daemons/registry/__init__.py
+++ b/src/ledgeladder/daemons/registry/__init__.py
@@ -1,4 +1,4 @@
-"""The control daemon of boxes that find each other: upstreams register here, operators publish."""
+"""The control daemon of clusters with discovery: registers upstreams and publishes documents."""
 
 from __future__ import annotations
 
--- a/src/ledgeladder/daemons/registry/broadcasts.py
+++ b/src/ledgeladder/daemons/registry/broadcasts.py
@@ -1,4 +1,4 @@
-"""What a registry process tells on its links again and again, and when there is news."""
+"""Broadcasts of a registry process: documents, registrations, heartbeat ages, peers and loads."""
 
 from __future__ import annotations
 
@@ -41,50 +41,49 @@
 logger = logging.getLogger(__name__)
 
 AGES_INTERVAL_SECONDS: Final = 1.0
-"""How often other boxes are told when each upstream was last heard, about one heartbeat."""
+"""Interval at which heartbeat ages are sent to other boxes, about one heartbeat."""
 
 MAX_AGES_BYTES_PER_SECOND: Final = 2000.0
-"""Bytes of ages on one link of an entry box a second at most: an eighth of what control may take,
-on each of three links. 3,000 upstreams are told every 3 s by each of three control boxes."""
+"""Bandwidth limit of ages on the link of an entry box. It is an eighth of the bandwidth for control
+traffic, since each entry box has three links. With many upstreams, ages are sent less often."""
 
 HINT_INTERVAL_SECONDS: Final = 5.0
-"""How often entry boxes are told who serves control while that does not change. One that has just
-connected is told at once."""
+"""Interval at which the peer hint is sent to entry boxes while it does not change. A new link gets
+it immediately."""
 
 MIN_UPDATE_INTERVAL_SECONDS: Final = 0.05
-"""Least time between two frames of news. Upstreams that register together are told together, since
-each frame goes over every link. Those that leave are told in time to get nothing new: they serve on
+"""Minimum interval between two frames of registrations. Registrations within it share a frame, since
+each frame goes over every link. The delay is short enough for draining upstreams, which serve on
 for seconds."""
 
 UPSTREAM_EXPIRY_SECONDS: Final = 12.0
-"""An upstream that nobody heard for this long, ten heartbeats, is dropped."""
+"""An upstream is dropped if no control box has received a heartbeat for this long."""
 
 
 def push_document(state: RegistryState) -> None:
-    """Send the published document to the entry boxes that report their load here.
+    """Send the published document to the entry boxes that report their load to this box.
 
-    Each of them has links to two further control boxes, and learns there within a second that there
-    is a newer one if this push does not arrive. Pushed over all links, documents were three fifths
-    of the bytes between failure domains where two dozen came in half a minute. Before anybody has
-    reported, as after a start, all are sent it.
+    Each entry box has links to further control boxes and reports to one of them, so it gets one
+    copy instead of one per link. If the push is lost, its next version poll finds the newer
+    document. Before any box has reported, as after a start, the document goes to all.
     """
     published = state.node.state.published
     push = DocumentPush(version=published.version, body=published.body)
-    numbers = state.loads or state.entry_links
+    link_ids = state.loads or state.entry_links
     post_to_all(
-        [state.entry_links[number] for number in numbers if number in state.entry_links], push
+        [state.entry_links[link_id] for link_id in link_ids if link_id in state.entry_links], push
     )
 
 
 def broadcast_registration(
     state: RegistryState, registration: Registration, *, to_peers: bool
 ) -> None:
-    """Tell others what an upstream has just said: at once, or with what comes right after it.
+    """Send a registration to other boxes: immediately, or batched after a recent update.
 
     Args:
         state: The process's state.
-        registration: The news.
-        to_peers: True if it was heard here, so that the other control boxes must be told.
+        registration: The new registration.
+        to_peers: True if it was received by this box and must be sent to the other control boxes.
     """
     now = anyio.current_time()
     state.pending_updates.add(registration, now, to_peers=to_peers)
@@ -95,16 +94,16 @@
 
 
 def _send_pending_updates(state: RegistryState, now: float) -> None:
-    news = state.pending_updates
-    told, to_peers = news.pop_all(now)
-    if told:
-        post_to_all(state.entry_links.values(), RegistrationNews(told=told))
+    updates = state.pending_updates
+    to_entries, to_peers = updates.pop_all(now)
+    if to_entries:
+        post_to_all(state.entry_links.values(), RegistrationNews(told=to_entries))
     if to_peers:
         post_to_all(state.peers.links.values(), RegistrationNews(told=to_peers))
 
 
 async def broadcast_updates(state: RegistryState) -> None:
-    """Tell what upstreams said too soon after the news before it, for ever."""
+    """Send the registrations that were batched after a recent update; runs until cancelled."""
     while True:
         await state.pending_updates.wake.wait()
         state.pending_updates.wake = anyio.Event()
@@ -118,7 +117,10 @@
 
 
 def _update_index(state: RegistryState) -> UpstreamIndex:
-    """Bring the own order up to date, and tell all who are told figures what changed in it."""
+    """Bring the upstream index up to date, and send its changes over all links.
+
+    Ages and loads name upstreams by position in this index, so it must be sent before them.
+    """
     change = diff_index(state.upstream_index, state.table.known)
     if change is not None:
         state.upstream_index = apply_index_change(state.upstream_index, change)
@@ -128,16 +130,16 @@
 
 
 def _known_controls(state: RegistryState) -> tuple[str, ...]:
-    """Return the IP numbers of the log's members, of the boxes with a link up, and of this one."""
+    """Return the IP addresses of the log's members, of linked control boxes, and of this box."""
     members = {box_of(member) for member in state.node.replica.log.members.everyone}
     return tuple(sorted(members | set(state.peers.links) | {state.peers.own_address}))
 
 
 async def broadcast_ages(state: RegistryState) -> None:
-    """Tell others when upstreams were last heard and who serves control, for ever."""
-    hinted: PeerHint | None = None
-    hinted_at = 0.0
-    entries_told_at = float("-inf")
+    """Broadcast heartbeat ages and peer hints, and drop expired upstreams, until cancelled."""
+    sent_hint: PeerHint | None = None
+    hint_sent_at = 0.0
+    ages_sent_at = float("-inf")
     while True:
         await anyio.sleep(AGES_INTERVAL_SECONDS)
         now = anyio.current_time()
@@ -149,32 +151,33 @@
         retain_engines(state.losses, set(state.table.known))
         add_peers(state.peers, _known_controls(state))
         update_voter_status(state)
-        order = _update_index(state)
-        told = RegistrationAges(
-            order=order.number, ages=pack_ages(order, heartbeat_ages(state.table, now))
+        index = _update_index(state)
+        message = RegistrationAges(
+            order=index.number, ages=pack_ages(index, heartbeat_ages(state.table, now))
         )
-        post_to_all(state.peers.links.values(), told)
-        if now - entries_told_at >= _ages_interval(len(order.instances)):
-            post_to_all(state.entry_links.values(), told)
-            entries_told_at = now
+        post_to_all(state.peers.links.values(), message)
+        if now - ages_sent_at >= _ages_interval(len(index.instances)):
+            post_to_all(state.entry_links.values(), message)
+            ages_sent_at = now
         hint = build_peer_hint(state)
-        # Other control boxes may hear nothing else on the links that they opened.
+        # Keeps the links that other control boxes opened from timing out for inactivity.
         post_to_all(state.accepted_control_links.values(), hint)
-        if hint != hinted or now - hinted_at >= HINT_INTERVAL_SECONDS:
+        if hint != sent_hint or now - hint_sent_at >= HINT_INTERVAL_SECONDS:
             post_to_all(state.entry_links.values(), hint)
-            hinted, hinted_at = hint, now
+            sent_hint, hint_sent_at = hint, now
 
 
 def _ages_interval(upstreams: int) -> float:
-    """Return how often an entry box is told ages, in seconds.
+    """Return the minimum interval between ages sent to an entry box, in seconds.
 
-    A tenth less than it takes, so that a round that begins late is not left out.
+    It is a tenth shorter than the bandwidth limit requires; otherwise jitter of the loop would skip
+    a round.
     """
     return 0.9 * max(AGES_INTERVAL_SECONDS, upstreams * AGE_BYTES / MAX_AGES_BYTES_PER_SECOND)
 
 
 def build_peer_hint(state: RegistryState) -> PeerHint:
-    """Return the control boxes that are known, with their failure domains."""
+    """Return the known control boxes with their failure domains."""
     domains = {state.peers.own_address: state.peers.identity.failure_domain}
     for link in state.accepted_control_links.values():
         if link.peer is not None:
@@ -183,27 +186,28 @@
 
 
 async def broadcast_loads(state: RegistryState) -> None:
-    """Tell entry boxes what the requests of all of them take on each upstream, for ever.
+    """Broadcast the summed load on each upstream until cancelled.
 
-    The other control boxes are told the share of those that report here.
+    The entry boxes that report to this box get the load of all entry boxes; the other control boxes
+    get the share of those that report to this box.
     """
-    told: tuple[bytes, bytes] = (b"", b"")
-    told_at = 0.0
+    sent: tuple[bytes, bytes] = (b"", b"")
+    sent_at = 0.0
     while True:
-        told_bytes = LOAD_BYTES * len(state.upstream_index.instances)
+        message_bytes = LOAD_BYTES * len(state.upstream_index.instances)
         controls = len(state.peers.known) + 1
-        await anyio.sleep(load_interval(count_entries(state), controls, told_bytes))
+        await anyio.sleep(load_interval(count_entries(state), controls, message_bytes))
         now = anyio.current_time()
         drop_expired_reports(state, now)
         if not state.loads:
             continue
-        order = _update_index(state)
-        own = pack_loads(order, local_loads(state, now))
-        sums = pack_loads(order, sum_loads(state, now))
-        if not is_report_due((own, sums) != told, now - told_at):
+        index = _update_index(state)
+        own = pack_loads(index, local_loads(state, now))
+        sums = pack_loads(index, sum_loads(state, now))
+        if not is_report_due((own, sums) != sent, now - sent_at):
             continue
-        told, told_at = (own, sums), now
-        share = LoadShare(order=order.number, loads=own, entries=len(state.loads))
+        sent, sent_at = (own, sums), now
+        share = LoadShare(order=index.number, loads=own, entries=len(state.loads))
         post_to_all(state.peers.links.values(), share)
-        totals = LoadTotals(order=order.number, loads=sums)
-        post_to_all((state.entry_links[number] for number in state.loads), totals)
+        totals = LoadTotals(order=index.number, loads=sums)
+        post_to_all((state.entry_links[link_id] for link_id in state.loads), totals)
--- a/src/ledgeladder/daemons/registry/load_totals.py
+++ b/src/ledgeladder/daemons/registry/load_totals.py
@@ -1,4 +1,4 @@
-"""Adding up what entry boxes report of their requests, here and to the other control boxes."""
+"""Sums the load that entry boxes report to this and to other control boxes."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
 
 
 def drop_expired_reports(state: RegistryState, now: float) -> None:
-    """Forget entry boxes that report to another control box by now, or do not report at all."""
-    for number in [item for item, report in state.loads.items() if not _is_recent(report, now)]:
-        del state.loads[number]
+    """Drop expired reports of entry boxes, which may report to another control box by now."""
+    for link_id in [item for item, report in state.loads.items() if not _is_recent(report, now)]:
+        del state.loads[link_id]
 
 
 def count_entries(state: RegistryState) -> int:
-    """Return how many entry boxes report to any control box, as far as is known; at least 1."""
+    """Return how many entry boxes are known to report to any control box; at least 1."""
     now = anyio.current_time()
     others = sum(item.entries for item in state.shares.values() if _is_recent(item, now))
     return max(1, len(state.loads) + others)
 
 
 def sum_loads(state: RegistryState, now: float) -> dict[str, LoadFigures]:
-    """Add up what entry boxes reported lately, here and to the other control boxes.
+    """Sum the recent load reports of the entry boxes of all control boxes.
 
     Args:
         state: The process's state.
         now: Monotonic time.
 
     Returns:
-        Load by run of the upstream; upstreams without any are left out.
+        Load by instance id of the upstream; upstreams without load are left out.
     """
     shares = [item.loads for item in state.shares.values() if _is_recent(item, now)]
     return _sum_by_instance([local_loads(state, now), *shares])
 
 
 def local_loads(state: RegistryState, now: float) -> dict[str, LoadFigures]:
-    """Add up what the entry boxes that report here said lately."""
+    """Sum the recent load reports of the entry boxes that report to this box."""
     return _sum_by_instance(
         report.loads for report in state.loads.values() if _is_recent(report, now)
     )
--- a/src/ledgeladder/daemons/registry/published_version.py
+++ b/src/ledgeladder/daemons/registry/published_version.py
@@ -1,4 +1,8 @@
-"""Being sure of the newest version, and publishing a new one, from any control box."""
+"""Confirms which published version is the newest, and publishes new ones, on any control box.
+
+Only the leader knows the newest version, and only while it holds its lease. Other control boxes
+poll it and count the age of its reply from the moment of their query.
+"""
 
 from __future__ import annotations
 
@@ -27,28 +31,31 @@
 logger = logging.getLogger(__name__)
 
 VERSION_POLL_SECONDS: Final = 0.4
-"""How often a box that does not lead asks the leader for the newest version."""
+"""Interval at which a box that does not lead polls the leader for the newest version."""
 
 STALE_POLL_SECONDS: Final = 0.05
-"""The same while this box is not sure, as after a start or the loss of the leader: about a round
-trip between failure domains and a sync of the leader's disk. Little is served meanwhile."""
+"""Interval of the poll while the newest version is unknown, as after a start or the loss of the
+leader: about one round trip between failure domains plus a sync of the leader's disk."""
 
 STALE_AFTER_SECONDS: Final = 2.0 * VERSION_POLL_SECONDS
-"""Age of what is known from which on a question to the leader was lost, or there is none."""
+"""Age from which the known version counts as stale: at least one poll was not answered."""
 
 READ_POLL_SECONDS: Final = 0.02
-"""How often a reader that waits looks for the answer."""
+"""Interval at which a waiting read checks whether the newest version is confirmed."""
 
 PUBLISH_TIMEOUT_SECONDS: Final = 3.0
-"""How long a publication may take before its sender is told that it is not confirmed. Below the
-4 s within which the platform wants an acknowledgement, so that a second try fits in."""
+"""Timeout of a publication. Below the 4 s within which the platform requires an acknowledgement,
+which leaves room for a retry."""
 
 LEADER_POLL_SECONDS: Final = 0.05
-"""How often a publication that found no leader, or was not confirmed by one, tries again."""
+"""Interval at which a publication checks for a leader and retries."""
 
 
 def is_up_to_date_leader(state: RegistryState) -> bool:
-    """Tell whether this box leads, holds its lease and has applied everything committed."""
+    """Return whether this box leads, holds its lease and has applied every committed entry.
+
+    An entry of its own term must be committed, which proves that the commit index is current.
+    """
     replica = state.node.replica
     if not replica.is_leader or not raft.holds_lease(replica, clock.now()):
         return False
@@ -57,9 +64,11 @@
 
 
 def version_age(state: RegistryState) -> float | None:
-    """Return how many seconds old the knowledge of the newest version is, or None without any.
+    """Return for how long the applied version may have been outdated.
 
-    A box that has not applied the version that the leader named knows it only from hearsay.
+    Returns:
+        Age of the last confirmation in seconds; None if there is none, or if the version that the
+        leader confirmed has not been applied here yet.
     """
     if is_up_to_date_leader(state):
         return 0.0
@@ -71,11 +80,15 @@
 
 
 def handle_version_query(state: RegistryState, link: Link, query: VersionQuery) -> None:
-    """Answer a box that asks which version is the newest."""
+    """Reply to a box that queries the newest version.
+
+    An entry box gets a second reply once the newest version is known here.
+    """
     from_control = link.peer is not None and link.peer.role.value == "control"
     age = version_age(state)
     if from_control and age != 0.0:
-        # Control boxes believe the leader only, or two of them could refresh each other for ever.
+        # Control boxes accept the age of the leader only: two others could otherwise confirm each
+        # other indefinitely.
         age = None
     elif age is None:
         state.pending_queries[id(link)] = query
@@ -89,23 +102,23 @@
 
 
 def handle_version_reply(state: RegistryState, reply: VersionReply) -> None:
-    """Note an answer of another control box; only the leader's carries an age and counts."""
+    """Apply a reply of another control box; only a reply of the leader carries an age."""
     handle_reply(state.freshness, reply.call, reply.version, reply.age)
 
 
 def query_leader(state: RegistryState) -> None:
-    """Ask the leader which version is the newest, if it is known and reachable."""
+    """Query the leader for the newest version if it is known and reachable."""
     link = state.peers.links.get(state.node.leader_box)
     if link is not None:
         link.post(VersionQuery(call=open_query(state.freshness, anyio.current_time())))
 
 
 async def poll_leader(state: RegistryState) -> None:
-    """Ask the leader now and then, for ever, so that entry boxes can be answered at once.
+    """Poll the leader for the newest version until cancelled.
 
-    Those that asked while this box was sure of nothing are answered as soon as it is. Waiting for
-    their next question, and for the own one, took 0.2 to 0.6 s of the 2.5 s without service after
-    all boxes had lost their power.
+    Entry boxes can then be answered without a round trip to the leader. Queries that arrived while
+    the newest version was unknown are answered as soon as it is known, which shortens the outage
+    after all boxes have restarted.
     """
     while True:
         if not state.node.replica.is_leader:
@@ -113,15 +126,15 @@
         age = version_age(state)
         if age is not None:
             answer_pending_queries(state)
-        is_sure = age is not None and age <= STALE_AFTER_SECONDS
-        await anyio.sleep(VERSION_POLL_SECONDS if is_sure else STALE_POLL_SECONDS)
+        is_fresh = age is not None and age <= STALE_AFTER_SECONDS
+        await anyio.sleep(VERSION_POLL_SECONDS if is_fresh else STALE_POLL_SECONDS)
 
 
 def answer_pending_queries(state: RegistryState) -> None:
-    """Answer the entry boxes that asked while this box was sure of nothing."""
-    open_questions, state.pending_queries = state.pending_queries, {}
-    for number, query in open_questions.items():
-        link = state.entry_links.get(number)
+    """Answer the queries that arrived while the newest version was unknown."""
+    queries, state.pending_queries = state.pending_queries, {}
+    for link_id, query in queries.items():
+        link = state.entry_links.get(link_id)
         if link is not None:
             handle_version_query(state, link, query)
 
@@ -131,11 +144,11 @@
 
     Args:
         state: The process's state.
-        since: Own monotonic time, at which a reader asked.
+        since: Monotonic time of this box at which the read arrived.
         seconds: Longest time to wait.
 
     Returns:
-        False if no leader confirmed it in time.
+        True if the version was confirmed in time.
     """
     query_leader(state)
     with anyio.move_on_after(seconds):
@@ -150,7 +163,7 @@
 async def publish(
     state: RegistryState, version: int, body: bytes
 ) -> Result[PublishResult, Problem]:
-    """Commit a document through the leader, wherever it is.
+    """Commit a document through the leader, on whichever box it runs.
 
     Args:
         state: The process's state.
@@ -158,8 +171,8 @@
         body: The document as it was sent.
 
     Returns:
-        What the state machine said. A problem says that the outcome is not known; publishing the
-        same document again does no harm.
+        Result of the state machine. A problem means that the outcome is unknown; publishing is
+        idempotent, so the caller may retry.
     """
     command = PublishCommand(version=version, body=zlib.compress(body), time_ms=wall_clock_ms())
     deadline = anyio.current_time() + PUBLISH_TIMEOUT_SECONDS
@@ -171,9 +184,9 @@
                 assert isinstance(result, PublishResult)
                 return Success(result)
         else:
-            passed = await _forward_to_leader(state, command, deadline)
-            if passed is not None:
-                return Success(passed)
+            forwarded = await _forward_to_leader(state, command, deadline)
+            if forwarded is not None:
+                return Success(forwarded)
         await anyio.sleep(LEADER_POLL_SECONDS)
     return Failure(Problem(code=ResultCode.NO_QUORUM, detail="not confirmed", retry_after=0.5))
 
@@ -181,11 +194,12 @@
 async def _forward_to_leader(
     state: RegistryState, command: PublishCommand, deadline: float
 ) -> PublishResult | None:
-    """Have the leader commit a publication.
+    """Forward a publication to the leader.
 
     Returns:
-        What it said; None if no leader is known, if it did not confirm in time, or if another one
-        is known by then: the document is then passed on to that one, and counts once.
+        Result of the leader; None if no leader is known, if it did not confirm in time, or if
+        another leader is known by then. The publication may then be forwarded again, since it
+        is idempotent.
     """
     leader = state.node.leader_box
     link = state.peers.links.get(leader)
@@ -209,7 +223,7 @@
 
 
 async def handle_command_request(state: RegistryState, link: Link, request: CommandRequest) -> None:
-    """Commit a publication that another control box passed on."""
+    """Commit a publication that another control box forwarded, and reply with the result."""
     if not isinstance(request.command, PublishCommand):
         logger.warning("command refused", extra={"peer": link.peer_box})
         link.post(CommandReply(call=request.call, result=None, code=ResultCode.FRAME_INVALID))
@@ -223,7 +237,7 @@
 
 
 def handle_command_reply(state: RegistryState, reply: CommandReply) -> None:
-    """Wake whoever waits for a command that was passed on."""
+    """Store the reply to a forwarded command and wake the task that waits for it."""
     waiter = state.waiters.get(reply.call)
     if waiter is not None:
         waiter.reply = reply
--- a/src/ledgeladder/daemons/registry/state.py
+++ b/src/ledgeladder/daemons/registry/state.py
@@ -1,4 +1,4 @@
-"""What all parts of a registry process share."""
+"""State that the modules of a registry process share."""
 
 from __future__ import annotations
 
@@ -30,191 +30,197 @@
 
 
 class CommandWaiter(msgspec.Struct, kw_only=True):
-    """Somebody who waits for the leader's answer to a command that was passed on."""
+    """A task that waits for the leader's reply to a forwarded command."""
 
     done: anyio.Event = msgspec.field(default_factory=anyio.Event)
-    """Set once the answer is here."""
+    """Set once the reply has arrived."""
 
     reply: CommandReply | None = None
-    """The answer; None if none came in time. The end of the link does not wake who waits."""
+    """The reply, or None if none arrived in time. A lost link does not set `done`."""
 
 
 class ReportedLoad(msgspec.Struct, kw_only=True):
-    """What one entry box said of its requests."""
+    """Load report of one entry box."""
 
     loads: dict[str, LoadFigures]
-    """Load by run of the upstream."""
+    """Load by instance id of the upstream."""
 
     reported_at: float
-    """When it said so, on the monotonic clock."""
+    """When the report arrived, on the monotonic clock."""
 
 
 class ReportedShare(msgspec.Struct, kw_only=True):
-    """What another control box said of the entry boxes that report to it."""
+    """Summed load of the entry boxes that report to another control box."""
 
     loads: dict[str, LoadFigures]
-    """Their load by run of the upstream."""
+    """Their load by instance id of the upstream."""
 
     entries: int
-    """Their number."""
+    """Number of these entry boxes."""
 
     reported_at: float
-    """When it said so, on the monotonic clock."""
+    """When the report arrived, on the monotonic clock."""
 
 
 class PendingUpdates(msgspec.Struct, kw_only=True):
-    """What upstreams said that other boxes have not been told yet."""
+    """Registrations that have not been sent to other boxes yet."""
 
     sent_at: float = float("-inf")
-    """When news was told last, on the monotonic clock."""
+    """When updates were last sent, on the monotonic clock."""
 
     registrations: dict[str, Registration] = msgspec.field(default_factory=dict)
-    """Newest news by run of the upstream."""
+    """Newest registration by instance id of the upstream."""
 
     received_at: dict[str, float] = msgspec.field(default_factory=dict)
-    """When it came, on the monotonic clock."""
+    """When it arrived, on the monotonic clock, by instance id."""
 
     received_here: set[str] = msgspec.field(default_factory=set)
-    """Runs that told this box, of which the other control boxes must hear."""
+    """Instances that registered with this box, which must be sent to the other control boxes."""
 
     wake: anyio.Event = msgspec.field(default_factory=anyio.Event)
-    """Set when there is news that waits."""
+    """Set when a registration is waiting to be sent."""
 
     def add(self, registration: Registration, now: float, *, to_peers: bool) -> None:
-        """Add news; of one run only the newest is told."""
+        """Add a registration; only the newest of each instance is sent."""
         self.registrations[registration.instance] = registration
         self.received_at[registration.instance] = now
         if to_peers:
             self.received_here.add(registration.instance)
 
     def pop_all(self, now: float) -> tuple[tuple[Liveness, ...], tuple[Liveness, ...]]:
-        """Take all news out.
+        """Remove and return all pending registrations.
 
         Args:
             now: Monotonic time.
 
         Returns:
-            What entry boxes are told, and what other control boxes are told, with ages in seconds.
+            The registrations for entry boxes and those for other control boxes, with their ages in
+            seconds.
         """
-        told = {
-            name: Liveness(registration=item, age=max(0.0, now - self.received_at[name]))
-            for name, item in self.registrations.items()
+        updates = {
+            instance: Liveness(registration=item, age=max(0.0, now - self.received_at[instance]))
+            for instance, item in self.registrations.items()
         }
-        to_peers = tuple(item for name, item in told.items() if name in self.received_here)
+        to_peers = tuple(
+            item for instance, item in updates.items() if instance in self.received_here
+        )
         self.registrations.clear()
         self.received_at.clear()
         self.received_here.clear()
         self.sent_at = now
-        return tuple(told.values()), to_peers
+        return tuple(updates.values()), to_peers
 
 
 class RegistryState(msgspec.Struct, kw_only=True):
     """State of one registry process."""
 
     settings: RegistrySettings
-    """Its settings."""
+    """Settings of the process."""
 
     node: ControlNode
-    """Its member of the replicated log."""
+    """This box's member of the replicated log."""
 
     peers: Peers
     """Links to the other control boxes."""
 
     table: RegistrationTable = msgspec.field(default_factory=RegistrationTable)
-    """Upstreams that registered."""
+    """Registered upstreams."""
 
     entry_links: dict[int, Link] = msgspec.field(default_factory=dict)
-    """Links that entry boxes opened, by `id` of the link."""
+    """Links that were opened by entry boxes, by `id` of the link."""
 
     accepted_control_links: dict[int, Link] = msgspec.field(default_factory=dict)
-    """Links that other control boxes opened, by `id` of the link."""
+    """Links that were opened by other control boxes, by `id` of the link."""
 
     pending_updates: PendingUpdates = msgspec.field(default_factory=PendingUpdates)
-    """What upstreams said and others have not been told yet."""
+    """Registrations that have not been sent to other boxes yet."""
 
     loads: dict[int, ReportedLoad] = msgspec.field(default_factory=dict)
-    """Newest load report of each entry box that reports here, by `id` of its link."""
+    """Newest load report of each entry box that reports to this box, by `id` of its link."""
 
     shares: dict[int, ReportedShare] = msgspec.field(default_factory=dict)
-    """Newest share of each other control box, by `id` of its link."""
+    """Newest load share of each other control box, by `id` of its link."""
 
     upstream_index: UpstreamIndex = UpstreamIndex()
-    """Order in which figures of upstreams are told to other boxes."""
+    """Positions of upstreams in the ages and loads that this box sends."""
 
     peer_indexes: dict[int, UpstreamIndex] = msgspec.field(default_factory=dict)
-    """The order in which each other control box tells them, by `id` of its link."""
+    """Positions of upstreams in those of each other control box, by `id` of its link."""
 
     freshness: Freshness = msgspec.field(default_factory=Freshness)
-    """What the leader said of the newest version; not used while this box is sure itself."""
+    """Freshness confirmed by the leader; unused while this box is an up-to-date leader itself."""
 
     pending_queries: dict[int, VersionQuery] = msgspec.field(default_factory=dict)
-    """Newest question of each entry box that came while this box was sure of nothing, by `id` of
-    its link."""
+    """Newest version query of each entry box that arrived while the newest version was unknown, by
+    `id` of its link."""
 
     waiters: dict[int, CommandWaiter] = msgspec.field(default_factory=dict)
-    """Commands that were passed on to the leader."""
+    """Commands that were forwarded to the leader, by call number."""
 
     next_call: int = 1
-    """Number of the next command that is passed on."""
+    """Call number of the next forwarded command."""
 
     quota_ledgers: dict[str, LoanBook] = msgspec.field(default_factory=dict)
-    """Repeats that this box has lent, by pool."""
+    """Retry quota that this box has granted, by pool."""
 
     voter_since: float | None = None
-    """Since when it is a voter, on the monotonic clock; None while it is none."""
+    """When this box became a voter, on the monotonic clock; None while it is not one."""
 
     ledger: OrderLedger = msgspec.field(default_factory=OrderLedger)
-    """Open orders to engines, of this box or of the one that leads."""
+    """Open orders to engines, of this box or of the leader."""
 
     configuration: TrafficConfiguration | None = None
     """The published document, decoded."""
 
     published_changed: anyio.Event = msgspec.field(default_factory=anyio.Event)
-    """Set once a newer document was applied."""
+    """Set once a newer document has been applied."""
 
     backoffs: Backoffs = msgspec.field(default_factory=Backoffs)
-    """Engines that asked this box for rest, by run."""
+    """Engines that requested back-off from this box."""
 
     losses: LossEvidence = msgspec.field(default_factory=LossEvidence)
-    """Reports of entry boxes on engines that they found dead."""
+    """Reports of entry boxes about unreachable engines."""
 
     sent_version: int = 0
-    """Version of the document that was last sent to entry boxes."""
+    """Version of the document that was last sent to the entry boxes."""
 
     quarantine_controller: QuarantineController | None = None
-    """What it knows of contents under which upstreams end; None before the state is built."""
+    """Quarantines request contents that crash upstreams; None until `build_state` sets it."""
 
     rate_granter: RateGranter | None = None
-    """Limits that upstreams name, and what it lends of them; None before the state is built."""
+    """Grants requests to upstreams that advertise a rate limit; None until `build_state` sets it."""
 
     stopping: bool = False
     """True once a planned stop has begun."""
 
 
 def controls_last_seen(state: RegistryState) -> float | None:
-    """Return the moment up to which all other control boxes were heard, on the monotonic clock.
+    """Return the oldest moment at which any other control box was last seen.
 
-    An engine that sends its heartbeats to a box that is cut off without a word is silent here from
-    then on. Links to such a box are given up seconds later, and until then its engines, which
-    live, would be taken for lost and others moved to take over their layers.
+    Engines send heartbeats to one control box. If that box is partitioned, their heartbeats stop
+    arriving here at once, but its links time out only seconds later. Inactivity of engines is
+    therefore measured up to this moment; otherwise they would be presumed lost, and other engines
+    moved to take over their layers.
 
     Returns:
-        None while one of them is out of reach.
+        Monotonic time, infinite without other control boxes; None while one of them is unreachable.
     """
     if len(state.peers.links) < len(state.peers.known):
         return None
-    heard = {link.peer_box: link.received_at for link in state.accepted_control_links.values()}
+    last_seen = {link.peer_box: link.received_at for link in state.accepted_control_links.values()}
     never = float("-inf")
-    return min((heard.get(address, never) for address in state.peers.known), default=float("inf"))
+    return min(
+        (last_seen.get(address, never) for address in state.peers.known), default=float("inf")
+    )
 
 
 def quarantine_controller_of(state: RegistryState) -> QuarantineController:
-    """Return what a process knows of contents under which upstreams end."""
+    """Return the quarantine controller of a process whose state is built."""
     assert state.quarantine_controller is not None
     return state.quarantine_controller
 
 
 def rate_granter_of(state: RegistryState) -> RateGranter:
-    """Return what a process knows of limits that upstreams name."""
+    """Return the rate granter of a process whose state is built."""
     assert state.rate_granter is not None
     return state.rate_granter
