--- a/tests/daemons/registry/__init__.py
+++ b/tests/daemons/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Parts of a registry without processes."""
+"""Tests of registry modules without processes."""
--- a/tests/daemons/registry/test_broadcasts.py
+++ b/tests/daemons/registry/test_broadcasts.py
@@ -1,4 +1,4 @@
-"""What a registry tells others again and again."""
+"""Broadcasts of a registry: intervals, receivers and batching."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Recorder:
-    """A link that keeps what is posted on it, with the moment."""
+    """A link that records the posted messages with their times."""
 
     def __init__(self, clock: list[float]) -> None:
         self.clock = clock
@@ -48,8 +48,8 @@
     return max(later - earlier for earlier, later in zip(moments, moments[1:], strict=False))
 
 
-def test_links_between_control_boxes_never_fall_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each side of a link gives it up after a silence, also while there is no news at all."""
+def test_links_between_control_boxes_never_become_inactive(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An idle system must still send on each link, or its peer closes it for inactivity."""
     clock = [0.0]
     opened, accepted, entry = (Recorder(clock) for _ in range(3))
     state: Any = SimpleNamespace(
@@ -89,8 +89,8 @@
     )
 
 
-def test_documents_go_to_the_entry_boxes_that_report_here() -> None:
-    """The pattern: documents in quick succession, each to hundreds of boxes with three links."""
+def test_documents_are_pushed_to_reporting_entry_boxes() -> None:
+    """A document pushed over every link would multiply the traffic between failure domains."""
     clock = [0.0]
     links = {number: Recorder(clock) for number in (1, 2, 3)}
     published = SimpleNamespace(version=7, body=b"body")
@@ -101,7 +101,7 @@
     )
     broadcasts.push_document(state)
     assert all(len(link.times(DocumentPush)) == 1 for link in links.values())
-    # One of those that report has lost its link since.
+    # The link of box 9 has been closed since its report.
     state.loads = {2: None, 9: None}
     broadcasts.push_document(state)
     assert [len(link.times(DocumentPush)) for link in links.values()] == [1, 2, 1]
@@ -119,17 +119,17 @@
 
 
 UPSTREAMS = 3000
-"""Upstreams that register within `REGISTER_SECONDS`, as after a start of 300 boxes."""
+"""Upstreams that register within `REGISTER_SECONDS`, as when all boxes start together."""
 
 REGISTER_SECONDS = 2.5
 LINKS = 180
 """Links of entry boxes to one of five control boxes: three of each of 300."""
 
 
-def test_upstreams_that_register_together_are_told_together(
+def test_concurrent_registrations_are_batched(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The load of a start: each registration sent singly was 3,000 frames to each of 180 links."""
+    """One frame per registration and link would overload a control box at a start."""
     clock = [0.0]
     entry, peer = Recorder(clock), Recorder(clock)
     state: Any = SimpleNamespace(
@@ -168,24 +168,24 @@
     monkeypatch.setattr(broadcasts.anyio, "sleep", sleep)
     anyio.run(run)
     frames = [message for _at, message in entry.posted if isinstance(message, RegistrationNews)]
-    told = [item.registration.instance for frame in frames for item in frame.told]
-    assert told == [registration(number).instance for number in range(UPSTREAMS)]
+    sent = [item.registration.instance for frame in frames for item in frame.told]
+    assert sent == [registration(number).instance for number in range(UPSTREAMS)]
     assert len(frames) <= 2 * REGISTER_SECONDS / broadcasts.MIN_UPDATE_INTERVAL_SECONDS
     to_peer = [message for _at, message in peer.posted if isinstance(message, RegistrationNews)]
     assert sum(len(frame.told) for frame in to_peer) == UPSTREAMS / 5
-    # Whole orders would be 11 times the half of all ids, 200 KB a link.
+    # Only the added ids are sent, not the whole index at each change.
     changes = [message for _at, message in entry.posted if isinstance(message, ChangedOrder)]
     assert sum(len(message.change.added) for message in changes) == UPSTREAMS
 
 
-def test_first_news_goes_at_once_and_of_one_run_the_newest_counts() -> None:
-    news = PendingUpdates()
-    news.add(registration(1), 5.0, to_peers=True)
-    news.add(registration(2), 5.1, to_peers=False)
-    gone = Registration(instance=registration(1).instance, sequence=0, state=UpstreamState.GONE)
-    news.add(gone, 5.2, to_peers=True)
-    told, to_peers = news.pop_all(5.3)
-    assert [item.registration for item in told] == [gone, registration(2)]
-    assert [item.registration for item in to_peers] == [gone]
-    assert told[1].age == pytest.approx(0.2)
-    assert news.pop_all(5.4) == ((), ())
+def test_pending_updates_keep_the_newest_registration_of_each_instance() -> None:
+    updates = PendingUpdates()
+    updates.add(registration(1), 5.0, to_peers=True)
+    updates.add(registration(2), 5.1, to_peers=False)
+    exited = Registration(instance=registration(1).instance, sequence=0, state=UpstreamState.GONE)
+    updates.add(exited, 5.2, to_peers=True)
+    to_entries, to_peers = updates.pop_all(5.3)
+    assert [item.registration for item in to_entries] == [exited, registration(2)]
+    assert [item.registration for item in to_peers] == [exited]
+    assert to_entries[1].age == pytest.approx(0.2)
+    assert updates.pop_all(5.4) == ((), ())
--- a/tests/daemons/registry/test_http_api.py
+++ b/tests/daemons/registry/test_http_api.py
@@ -1,4 +1,4 @@
-"""Registrations that name no pool of the document."""
+"""Registrations under a pool that the published document does not contain."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from ledgeladder.model.registration import Registration, UpstreamState
 
 
-def registry(pools: tuple[str, ...] | None) -> Any:
+def build_state(pools: tuple[str, ...] | None) -> Any:
     configuration = None if pools is None else SimpleNamespace(pools=dict.fromkeys(pools))
     return SimpleNamespace(configuration=configuration, table=RegistrationTable())
 
 
 @pytest.mark.parametrize(
-    ("pools", "pool", "state", "is_known", "is_taken"),
+    ("pools", "pool", "state", "is_known", "is_accepted"),
     [
         (None, "engines", UpstreamState.READY, False, True),
         (("engines",), "engines", UpstreamState.READY, False, True),
@@ -27,11 +27,15 @@
         (("services",), "engines", UpstreamState.LEAVING, False, True),
     ],
 )
-def test_pool_that_the_document_does_not_have(
-    pools: tuple[str, ...] | None, pool: str, state: UpstreamState, is_known: bool, is_taken: bool
+def test_registration_under_unknown_pool_is_rejected(
+    pools: tuple[str, ...] | None,
+    pool: str,
+    state: UpstreamState,
+    is_known: bool,
+    is_accepted: bool,
 ) -> None:
-    held = registry(pools)
-    said = Registration(instance="i-1", sequence=2, pool=pool, address="a:1", state=state)
+    registry = build_state(pools)
+    registration = Registration(instance="i-1", sequence=2, pool=pool, address="a:1", state=state)
     if is_known:
-        apply_registration(held.table, said, 0.0)
-    assert _has_known_pool(held, said) is is_taken
+        apply_registration(registry.table, registration, 0.0)
+    assert _has_known_pool(registry, registration) is is_accepted
--- a/tests/daemons/registry/test_published_version.py
+++ b/tests/daemons/registry/test_published_version.py
@@ -1,7 +1,7 @@
-"""Who is answered when about the newest version.
+"""Version queries and publications while there is no leader yet.
 
-The pattern: all boxes lose their power and start together. Gateways ask before there is a leader;
-each wait for another question is time without service on all of them.
+After a restart of all boxes, gateways query before a leader is elected and serve nothing until they
+are answered.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Recorder:
-    """A link that keeps what is posted on it."""
+    """A link that records the posted messages."""
 
     def __init__(self, role: str = "entry") -> None:
         self.posted: list[Any] = []
@@ -35,7 +35,7 @@
         self.posted.append(message)
 
 
-def registry(link: Recorder) -> Any:
+def build_state(link: Recorder) -> Any:
     node = SimpleNamespace(
         state=SimpleNamespace(published=SimpleNamespace(version=4)),
         replica=SimpleNamespace(is_leader=True),
@@ -46,55 +46,57 @@
 
 
 @pytest.fixture
-def knowledge(monkeypatch: pytest.MonkeyPatch) -> dict[str, float | None]:
-    """What the registry knows: the age of its knowledge, or None."""
-    held: dict[str, float | None] = {"age": None}
-    monkeypatch.setattr(published_version, "version_age", lambda _state: held["age"])
+def version_freshness(monkeypatch: pytest.MonkeyPatch) -> dict[str, float | None]:
+    """Age of the registry's newest version, under the key `age`; None while it is unknown."""
+    freshness: dict[str, float | None] = {"age": None}
+    monkeypatch.setattr(published_version, "version_age", lambda _state: freshness["age"])
     monkeypatch.setattr(published_version, "count_entries", lambda _state: 1)
-    return held
+    return freshness
 
 
 def reply(call: int, age: float | None) -> VersionReply:
     return VersionReply(call=call, version=4, age=age, entries=1)
 
 
-def test_newest_open_question_is_answered_once_the_box_is_sure(
-    knowledge: dict[str, float | None],
+def test_newest_pending_query_is_answered_once_the_version_is_known(
+    version_freshness: dict[str, float | None],
 ) -> None:
     link = Recorder()
-    state = registry(link)
+    state = build_state(link)
     for call in (7, 8):
         handle_version_query(state, link, VersionQuery(call=call))
     assert link.posted == [reply(7, None), reply(8, None)]
-    knowledge["age"] = 0.0
+    version_freshness["age"] = 0.0
     answer_pending_queries(state)
     assert link.posted[2:] == [reply(8, 0.0)]
     answer_pending_queries(state)
     assert len(link.posted) == 3
 
 
-def test_questions_of_control_boxes_and_of_lost_links_are_not_kept(
-    knowledge: dict[str, float | None],
+def test_queries_of_control_boxes_and_of_closed_links_are_dropped(
+    version_freshness: dict[str, float | None],
 ) -> None:
     link = Recorder(role="control")
-    state = registry(link)
+    state = build_state(link)
     handle_version_query(state, link, VersionQuery(call=1))
     assert not state.pending_queries
     link = Recorder()
     handle_version_query(state, link, VersionQuery(call=2))
-    knowledge["age"] = 0.0
+    version_freshness["age"] = 0.0
     answer_pending_queries(state)
     assert len(link.posted) == 1
 
 
-def test_box_that_is_not_sure_looks_again_soon(
-    monkeypatch: pytest.MonkeyPatch, knowledge: dict[str, float | None]
+def test_box_with_stale_version_polls_more_often(
+    monkeypatch: pytest.MonkeyPatch, version_freshness: dict[str, float | None]
 ) -> None:
     pauses: list[float] = []
 
     async def sleep(seconds: float) -> None:
         pauses.append(seconds)
-        knowledge["age"] = {1: published_version.STALE_AFTER_SECONDS + 1.0, 2: 0.0}.get(len(pauses))
+        version_freshness["age"] = {1: published_version.STALE_AFTER_SECONDS + 1.0, 2: 0.0}.get(
+            len(pauses)
+        )
         if len(pauses) == 3:
             raise TimeoutError
 
@@ -102,7 +104,7 @@
 
     async def run() -> None:
         with pytest.raises(TimeoutError):
-            await poll_leader(registry(Recorder()))
+            await poll_leader(build_state(Recorder()))
 
     anyio.run(run)
     assert pauses == [
@@ -112,14 +114,11 @@
     ]
 
 
-def test_publication_goes_to_the_next_leader_as_soon_as_there_is_one() -> None:
-    """The pattern: the leader loses its power under a publication, and another one is elected.
-
-    The box that passed it on waited for the answer of the first for the whole 3 s.
-    """
+def test_publication_is_forwarded_to_a_newly_elected_leader() -> None:
+    """A box must not wait for the reply of a failed leader once another one is elected."""
 
     class NextLeader(Recorder):
-        """Confirms what it is asked to commit."""
+        """Confirms every command immediately."""
 
         def post(self, message: Any) -> None:
             super().post(message)
@@ -127,7 +126,7 @@
             handle_command_reply(state, CommandReply(call=message.call, result=result))
 
     lost, following = Recorder(), NextLeader()
-    state = registry(Recorder())
+    state = build_state(Recorder())
     state.node.replica.is_leader = False
     state.node.leader_box = "lost"
     state.peers.links = {"lost": lost, "next": following}
--- a/tests/daemons/registry/test_state.py
+++ b/tests/daemons/registry/test_state.py
@@ -1,4 +1,4 @@
-"""Up to which moment a control box knows what the others have heard."""
+"""The moment up to which a control box knows the heartbeats that the others received."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ledgeladder.daemons.registry.state import controls_last_seen
 
 
-def registry(known: list[str], linked: list[str], received: dict[str, float]) -> Any:
+def build_state(known: list[str], linked: list[str], received: dict[str, float]) -> Any:
     links = {
         number: SimpleNamespace(peer_box=address, received_at=at)
         for number, (address, at) in enumerate(received.items())
@@ -22,16 +22,16 @@
 
 
 @pytest.mark.parametrize(
-    ("known", "linked", "received", "until"),
+    ("known", "linked", "received", "expected"),
     [
         ([], [], {}, float("inf")),
         (["b", "c"], ["b", "c"], {"b": 9.9, "c": 8.0}, 8.0),
-        # One that has no link to this box yet tells it nothing.
+        # A control box that has not opened a link to this box has never been seen.
         (["b", "c"], ["b", "c"], {"b": 9.9}, float("-inf")),
         (["b", "c"], ["b"], {"b": 9.9, "c": 9.9}, None),
     ],
 )
-def test_box_that_was_heard_longest_ago_decides(
-    known: list[str], linked: list[str], received: dict[str, float], until: float | None
+def test_least_recently_seen_control_box_counts(
+    known: list[str], linked: list[str], received: dict[str, float], expected: float | None
 ) -> None:
-    assert controls_last_seen(registry(known, linked, received)) == until
+    assert controls_last_seen(build_state(known, linked, received)) == expected
