--- a/src/ledgeladder/daemons/registry/http_api.py
+++ b/src/ledgeladder/daemons/registry/http_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of a registry process: upstreams register, operators publish and read."""
+"""HTTP API of a registry process: registration of upstreams, publishing and reading documents."""
 
 from __future__ import annotations
 
@@ -36,21 +36,21 @@
 logger = logging.getLogger(__name__)
 
 MAX_DOCUMENT_BYTES: Final = 16 * 1024 * 1024
-"""Longest document that an operator may publish."""
+"""Largest document that an operator may publish."""
 
 READ_TIMEOUT_SECONDS: Final = 0.8
-"""How long a read waits to be sure of the newest version. Operators move on to another box after
-a second without an answer."""
+"""How long a read waits until the newest version is confirmed. Below the timeout of one second after
+which operators try another box."""
 
 OK: Final = 200
 
 
 def build_site(state: RegistryState, counters: Counter[str]) -> HttpSite:
-    """Build what a registry process serves.
+    """Build the HTTP site of a registry process.
 
     Args:
         state: The process's state.
-        counters: Counts calls by outcome.
+        counters: Number of calls by outcome.
     """
 
     async def handle(request: HttpRequest, exchange: Exchange) -> None:
@@ -64,7 +64,7 @@
                 await _read(state, counters, request, exchange)
             case Problem():
                 counters[call.code.name] += 1
-                logger.info("call refused", extra={"code": call.code.name, "detail": call.detail})
+                logger.info("call rejected", extra={"code": call.code.name, "detail": call.detail})
                 await write_problem(exchange, call)
 
     limits = CallerLimits(body_bytes=MAX_DOCUMENT_BYTES)
@@ -79,7 +79,7 @@
 async def _register(
     state: RegistryState, counters: Counter[str], call: Register, exchange: Exchange
 ) -> None:
-    """Take a registration, tell everybody, then acknowledge."""
+    """Apply a registration, broadcast it if it is new, then acknowledge it."""
     registration = call.registration
     counters["registrations"] += 1
     if not _has_known_pool(state, registration):
@@ -104,15 +104,16 @@
 
 
 def _has_known_pool(state: RegistryState, registration: Registration) -> bool:
-    """Tell whether a registration names a pool that the document has.
+    """Return whether a registration is acceptable with the pools of the document.
 
-    An upstream that was known under a pool before the document dropped it is still acknowledged,
-    and so is everybody while there is no document, and whoever leaves.
+    Accepted without such a pool are all registrations while there is no document, those of draining
+    and exited upstreams, and those of upstreams that registered before the document dropped their
+    pool.
     """
     if state.configuration is None or registration.state is not UpstreamState.READY:
         return True
-    held = state.table.known.get(registration.instance)
-    known_before = held is not None and held.registration.pool == registration.pool
+    known = state.table.known.get(registration.instance)
+    known_before = known is not None and known.registration.pool == registration.pool
     return known_before or registration.pool in state.configuration.pools
 
 
@@ -124,19 +125,19 @@
         problem = decoded.failure()
         counters[problem.code.name] += 1
         logger.warning(
-            "document refused", extra={"code": problem.code.name, "detail": problem.detail}
+            "document rejected", extra={"code": problem.code.name, "detail": problem.detail}
         )
         await write_problem(exchange, problem)
         return
     version = decoded.unwrap().version
     if version <= state.node.state.published.version:
-        logger.info("document not newer", extra={"version": version})
+        logger.info("document is not newer than the published one", extra={"version": version})
         await exchange.answer(OK, JSON_HEADERS, ACKNOWLEDGED)
         return
     outcome = await publish(state, version, call.body)
     if isinstance(outcome, Failure):
         counters[ResultCode.NO_QUORUM.name] += 1
-        logger.warning("document not confirmed", extra={"version": version})
+        logger.warning("document not confirmed by a leader", extra={"version": version})
         await write_problem(exchange, outcome.failure())
         return
     result = outcome.unwrap()
@@ -149,7 +150,10 @@
 ) -> None:
     if not await wait_until_fresh(state, request.arrived_at, READ_TIMEOUT_SECONDS):
         counters[ResultCode.BELIEF_STALE.name] += 1
-        logger.warning("read refused", extra={"version": state.node.state.published.version})
+        logger.warning(
+            "read rejected: newest version is not confirmed",
+            extra={"version": state.node.state.published.version},
+        )
         await write_problem(exchange, Problem(code=ResultCode.BELIEF_STALE, retry_after=0.5))
         return
     published = state.node.state.published
--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -1,4 +1,4 @@
-"""The registry process: one member of the replicated log, registrations, publications, orders."""
+"""The registry process: a member of the replicated log with registrations and engine placement."""
 
 from __future__ import annotations
 
@@ -50,24 +50,24 @@
 logger = logging.getLogger(__name__)
 
 LEASE_SHARE: Final = 0.8
-"""Lease as a share of the election time-out; the rest is room for clocks that drift apart."""
+"""Lease as a share of the election timeout; the rest allows for clock drift."""
 
 HANDOVER_TIMEOUT_SECONDS: Final = 1.5
 """How long a planned stop waits for another leader."""
 
 START_RETRY_SECONDS: Final = 1.0
-"""How often a box without a folder of its own looks whether its disk has room."""
+"""Interval at which the start is retried while the disk is full."""
 
 INITIAL_INCARNATION: Final = "initial"
-"""Incarnation of the folders that a cluster is first created with."""
+"""Incarnation of the initial voters of a cluster."""
 
 
 def build_state(settings: RegistrySettings) -> RegistryState:
     """Open the data folder and build the state of the process.
 
-    Only the first start of the whole system makes initial voters, out of the seeds. A box with an
-    empty folder at any other time is a new member: it gets an identity of its own and joins as a
-    learner, so that a vote never rests on a disk that forgot what it had accepted.
+    The seeds become the initial voters only when the cluster is bootstrapped. At any other time, a
+    box with an empty folder gets a new identity and joins as a learner: a voter whose disk was
+    replaced could otherwise deny entries that it had acknowledged.
 
     Args:
         settings: Settings of the process.
@@ -76,18 +76,18 @@
         The state.
 
     Raises:
-        StorageError: If the folder cannot be trusted.
+        StorageError: If the folder is unreadable or corrupt.
     """
-    links: list[RegistryState] = []
+    built: list[RegistryState] = []
 
     async def serve(address: str, link: Link) -> None:
-        await serve_control_link(links[0], address, link)
+        await serve_control_link(built[0], address, link)
 
     def send(envelope: Envelope) -> None:
-        send_log_message(links[0], envelope)
+        send_log_message(built[0], envelope)
 
     def changed() -> None:
-        links[0].published_changed.set()
+        built[0].published_changed.set()
 
     own = settings.box.address
     peers = Peers(
@@ -101,7 +101,7 @@
     state.quarantine_controller = build_quarantine_controller(state)
     state.rate_granter = build_rate_granter(state)
     state.table.heartbeat = settings.bounds.heartbeat_ms / 1000.0
-    links.append(state)
+    built.append(state)
     apply_published(state)
     return state
 
@@ -121,12 +121,14 @@
     if identity is None:
         initial = settings.cluster.bootstrap and own in seeds
         identity = create_identity(folder, cluster=cluster, box=own, initial=initial)
-        logger.info("new identity", extra={"member": identity.member_id, "initial": initial})
+        logger.info(
+            "created a new identity", extra={"member": identity.member_id, "initial": initial}
+        )
     voters: tuple[str, ...] = ()
     if identity.incarnation == INITIAL_INCARNATION:
         voters = tuple(sorted(member_id(seed, INITIAL_INCARNATION) for seed in seeds))
     election = settings.registry.election_seconds
-    wanted = 2 * settings.cluster.tolerated_losses + 1
+    voter_count = 2 * settings.cluster.tolerated_losses + 1
     node = open_node(
         identity=identity,
         folder=folder,
@@ -142,13 +144,13 @@
         rng=random.Random(),
     )
     node.choose_members = lambda replica, applicants, now: next_voters(
-        replica, applicants, now, wanted=wanted, box_of=box_of
+        replica, applicants, now, wanted=voter_count, box_of=box_of
     )
     return node
 
 
 def apply_published(state: RegistryState) -> None:
-    """Decode a newly published document for the placement and send it to the entry boxes."""
+    """Decode a newly published document for the placement, and send it to the entry boxes."""
     published = state.node.state.published
     if published.version == state.sent_version:
         return
@@ -157,15 +159,15 @@
     if isinstance(decoded, Success):
         state.configuration = decoded.unwrap()
     else:
-        logger.error("published document unreadable", extra={"version": published.version})
+        logger.error("published document is invalid", extra={"version": published.version})
     push_document(state)
 
 
 async def watch_published(state: RegistryState) -> None:
-    """Send each newly published document and each new content in quarantine out, for ever.
+    """Broadcast new documents and quarantined request contents until cancelled.
 
-    A restart applies the whole log in one go: only the last of its documents is sent, since an
-    entry box that has none yet must not put an old one in force.
+    A restart applies the whole log in one step, and only the last of its documents is sent: an
+    entry box without a document must not put an outdated one in force.
     """
     while True:
         await state.published_changed.wait()
@@ -175,10 +177,10 @@
 
 
 async def _build_state_with_retry(settings: RegistrySettings) -> RegistryState:
-    """Build the state, once the disk has room for what a new folder needs.
+    """Build the state; retry while the disk is full.
 
     Raises:
-        StorageError: If the folder cannot be trusted or the disk fails otherwise.
+        StorageError: If the folder is unreadable or corrupt, or the disk fails otherwise.
     """
     while True:
         try:
@@ -191,14 +193,14 @@
 
 
 async def run_registry(settings: RegistrySettings, path: Path) -> None:
-    """Run a registry process until it is told to stop.
+    """Run a registry process until it receives a stop signal.
 
     Args:
         settings: Settings of the process.
-        path: File that they were read from, which is read again when it changes.
+        path: Settings file, from which the seeds are reloaded when it changes.
 
     Raises:
-        StorageError: If the data folder cannot be trusted or the disk fails.
+        StorageError: If the data folder is unreadable or corrupt, or the disk fails.
     """
     state = await _build_state_with_retry(settings)
     counters: Counter[str] = Counter()
@@ -262,7 +264,7 @@
 
 
 async def _hand_over(node: ControlNode) -> None:
-    """Let another member lead before this one stops, and wait for it for a bounded time."""
+    """Transfer the leadership to another member, and wait for it until a timeout."""
     if not node.replica.is_leader or not start_handover(node):
         return
     with anyio.move_on_after(HANDOVER_TIMEOUT_SECONDS):
--- a/src/ledgeladder/daemons/registry/metrics.py
+++ b/src/ledgeladder/daemons/registry/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics page of a registry."""
+"""Metrics of a registry process."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def metrics_lines(state: RegistryState, counters: Counter[str]) -> list[str]:
-    """Return counters and gauges of a registry."""
+    """Return the lines of the metrics page with all counters and gauges."""
     replica = state.node.replica
     gauges = {
         "document_version": float(state.node.state.published.version),
--- a/src/ledgeladder/daemons/registry/order_sending.py
+++ b/src/ledgeladder/daemons/registry/order_sending.py
@@ -1,4 +1,4 @@
-"""Sending orders to engines while this box leads."""
+"""Sends orders to engines while this box leads."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 logger = logging.getLogger(__name__)
 
 CALL_TIMEOUT_SECONDS: Final = 1.5
-"""How long an engine may take to answer an order."""
+"""Timeout of a call to an engine."""
 
 REQUESTS_PER_ORDER: Final = 2
-"""What an order takes of the requests a second that an engine names: a report is asked for first.
-It is not held back for that, since an engine without its layers serves nobody."""
+"""Requests of an order that count against the engine's rate limit: a report query and the order. The
+limit does not delay them, since an engine without its layers serves no requests."""
 
 
 def may_order(state: RegistryState) -> bool:
-    """Tell whether this box holds the lease under a term that no engine has refused."""
+    """Return whether this box holds the lease in a term that no engine has fenced off."""
     replica = state.node.replica
     if replica.term in state.ledger.fenced_terms or state.stopping:
         return False
@@ -42,17 +42,20 @@
 
 
 def format_range(holding: Holding | None) -> str:
-    """Write a range of layers for the log; empty for none."""
+    """Format a range of layers for the log; empty for None."""
     return f"{holding.first}-{holding.end}" if holding is not None else ""
 
 
 async def order_layers(state: RegistryState, engine: Registration, holding: Holding) -> None:
-    """Tell the other control boxes of an order, send it, and note what came of it."""
+    """Announce an order to the other control boxes, send it, and record the outcome.
+
+    The announcement comes first: a new leader must not repeat an order that was already sent.
+    """
     fence = state.node.replica.term
     order = state.ledger.sent.get(engine.instance)
     seconds = order.load_seconds if order is not None else 0.0
-    news = OrderNews(instance=engine.instance, holding=holding, load_seconds=seconds)
-    post_to_all(state.peers.links.values(), news)
+    update = OrderNews(instance=engine.instance, holding=holding, load_seconds=seconds)
+    post_to_all(state.peers.links.values(), update)
     outcome = await send_order(state, engine, holding, fence)
     record_outcome(state.ledger, engine.instance, outcome, fence)
     logger.info(
@@ -70,16 +73,17 @@
 async def send_order(
     state: RegistryState, engine: Registration, holding: Holding, fence: int
 ) -> OrderOutcome:
-    """Send one order, to follow the orders that the engine says it has taken.
+    """Send an order on the condition that the engine has started no other order since its report.
 
-    Not all engines check the term of an order. One that is carried out late, or comes from a leader
-    that has lost its lease meanwhile, then finds that others came first, and is refused. The lease
-    is checked once more right before the bytes leave.
+    Not all engines check the term of an order. The condition makes them reject an order that
+    arrives late, or that comes from a leader whose lease has expired, once they have started a
+    newer one. The lease is checked again immediately before the order is sent.
 
     Returns:
-        What the engine said; `NO_ANSWER` also if the order was not sent: the engine could not be
-        reached, carries out another one, or this box leads no more. `BACKING_OFF` if it wants none;
-        the order is due again later, as any that was not answered.
+        Outcome reported by the engine. `NO_ANSWER` also if the order was not sent because the
+        engine is unreachable or busy with another order, or this box does not lead any more;
+        `BACKING_OFF` while the engine requests back-off. In both cases the order is due again
+        later.
     """
     if is_backing_off(state.backoffs, engine.instance, clock.now()):
         return OrderOutcome.BACKING_OFF
@@ -89,7 +93,7 @@
     except RestAskedError as error:
         record_backoff(state.backoffs, engine.instance, error.seconds, clock.now())
         logger.warning(
-            "engine asks for rest",
+            "upstream requested back-off",
             extra={"upstream": engine.instance, "seconds": round(error.seconds, 3)},
         )
         return OrderOutcome.BACKING_OFF
@@ -98,10 +102,10 @@
 async def _send_order(
     state: RegistryState, engine: Registration, holding: Holding, fence: int
 ) -> OrderOutcome:
-    """Ask an engine how many orders it has taken, and send it the next one.
+    """Query how many orders an engine has started, and send it the next one.
 
     Raises:
-        RestAskedError: If it asks for rest.
+        RestAskedError: If the engine requests back-off.
     """
     source = state.settings.box.address
     try:
--- a/src/ledgeladder/daemons/registry/peer_links.py
+++ b/src/ledgeladder/daemons/registry/peer_links.py
@@ -1,6 +1,6 @@
-"""Links of a registry process: the other control boxes, and the entry boxes that follow it.
+"""Serves the links of a registry process to other control boxes and to entry boxes.
 
-What is told on them again and again is in `broadcasts`.
+Periodic messages are sent by `broadcasts`.
 """
 
 from __future__ import annotations
@@ -72,25 +72,26 @@
 logger = logging.getLogger(__name__)
 
 JOIN_INTERVAL_SECONDS: Final = 0.3
-"""How often a box that is no member of the log asks to become one."""
+"""Interval at which a box that is not a member of the log requests membership."""
 
 LEADER_INACTIVITY_SECONDS: Final = 1.5
-"""A member that heard no leader for this long may have been removed and asks to join again."""
+"""A member without contact to a leader for this long may have been removed from the log and requests
+membership again."""
 
 
 def send_log_message(state: RegistryState, envelope: Envelope) -> None:
-    """Send a message of the log over the link to its target's box, or drop it."""
+    """Send a message of the replicated log to its target's box, or drop it if there is no link."""
     link = state.peers.links.get(box_of(envelope.target))
     if link is not None:
         link.post(LogMessage(envelope=envelope))
 
 
 async def serve_control_link(state: RegistryState, address: str, link: Link) -> None:
-    """Serve the own link to another control box.
+    """Serve a link that this box opened to another control box.
 
     Args:
         state: The process's state.
-        address: IP number of the other box.
+        address: IP address of the other box.
         link: The link.
     """
     link.post(RegistrationNews(told=list_liveness(state.table, anyio.current_time())))
@@ -113,12 +114,12 @@
 
 
 async def _request_membership(state: RegistryState, link: Link) -> None:
-    """Ask to become a member of the log while this box is none or hears no leader, for ever."""
+    """Request membership while this box is not a member or has no leader; runs until cancelled."""
     replica = state.node.replica
     while True:
-        heard = clock.now() - replica.leader_heard_at < LEADER_INACTIVITY_SECONDS
+        has_leader = clock.now() - replica.leader_heard_at < LEADER_INACTIVITY_SECONDS
         is_member = replica.member_id in replica.log.members.everyone
-        if not replica.is_leader and not (is_member and heard):
+        if not replica.is_leader and not (is_member and has_leader):
             link.post(JoinRequest(member_id=replica.member_id))
         await anyio.sleep(JOIN_INTERVAL_SECONDS)
 
@@ -159,7 +160,7 @@
 def _handle_message(
     state: RegistryState, tasks: TaskGroup, link: Link, message: LinkMessage, *, is_control: bool
 ) -> None:
-    """Take in one message; the log, registrations and hints only from control boxes."""
+    """Handle a message; those of the log, registrations and hints only from control boxes."""
     match message:
         case LogMessage() if is_control:
             state.node.receive(message.envelope)
@@ -177,8 +178,8 @@
                 _peer_index(state, link), message.change
             )
         case RegistrationAges() if is_control:
-            told = unpack_ages(_peer_index(state, link), message.order, message.ages)
-            merge_ages(state.table, told, anyio.current_time())
+            ages = unpack_ages(_peer_index(state, link), message.order, message.ages)
+            merge_ages(state.table, ages, anyio.current_time())
         case PeerHint() if is_control:
             add_peers(state.peers, message.addresses, message.domains)
         case LoadReport():
@@ -223,12 +224,12 @@
 
 
 def _peer_index(state: RegistryState, link: Link) -> UpstreamIndex:
-    """Return the order in which a control box tells figures."""
+    """Return the index by which a control box names upstreams in its ages and loads."""
     return state.peer_indexes.get(id(link), UpstreamIndex())
 
 
 def _handle_lost_report(state: RegistryState, link: Link, instance: str) -> None:
-    """Take in that an entry box found an engine dead, and tell the others once that is sure."""
+    """Record that an entry box found an engine unreachable; broadcast the loss once confirmed."""
     known = state.table.known.get(instance)
     if known is None or link.peer is None:
         return
--- a/src/ledgeladder/daemons/registry/quota_grants.py
+++ b/src/ledgeladder/daemons/registry/quota_grants.py
@@ -1,4 +1,7 @@
-"""Lending entry boxes repeats, and requests to upstreams that name how many they take."""
+"""Grants entry boxes retry quota and requests to rate-limited upstreams.
+
+Only voters grant, each of them an equal part, so the sum of all grants stays within the limit.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 
 
 def update_voter_status(state: RegistryState) -> None:
-    """Note since when this box is a voter; what it lent under an earlier vote is forgotten."""
+    """Record when this box became a voter; quota granted in an earlier membership is dropped."""
     is_voter = state.node.replica.is_voter
     if is_voter and state.voter_since is None:
         state.voter_since = anyio.current_time()
@@ -34,19 +37,19 @@
 
 
 def may_grant(state: RegistryState) -> bool:
-    """Tell whether this box is a voter and has heard so lately."""
+    """Return whether this box is a voter, as confirmed by the leader recently."""
     age = version_age(state) if state.voter_since is not None else None
     return age is not None and age <= LEADER_CONTACT_SECONDS
 
 
 def count_granting_voters(state: RegistryState) -> int:
-    """Return into how many parts what is lent is divided: one for each voter there may be."""
+    """Return the number of parts that a limit is divided into: the largest number of voters."""
     voters = 2 * state.settings.cluster.tolerated_losses + 1
     return max(voters, len(state.node.replica.log.members.voters))
 
 
 def build_rate_granter(state: RegistryState) -> RateGranter:
-    """Return what lends requests with the links of a registry."""
+    """Return a rate granter that uses the links of this process."""
     return RateGranter(
         parts=lambda: count_granting_voters(state),
         may_grant=lambda: may_grant(state),
@@ -56,14 +59,14 @@
 
 
 def handle_quota_request(state: RegistryState, link: Link, request: LoanRequest) -> None:
-    """Lend repeats to an entry box out of the part of this voter, or say that there are none."""
+    """Grant retry quota to an entry box from this voter's part; the reply may grant less or none."""
     opened_at, count = state.voter_since, 0
     if opened_at is not None and may_grant(state):
-        book = _quota_ledger(state, request.pool, opened_at)
-        count = lend(book, request.count, anyio.current_time())
+        ledger = _quota_ledger(state, request.pool, opened_at)
+        count = lend(ledger, request.count, anyio.current_time())
     if count < request.count:
         logger.info(
-            "repeats not lent",
+            "retry quota not fully granted",
             extra={
                 "peer": link.peer_box,
                 "pool": request.pool,
@@ -75,14 +78,14 @@
 
 
 def _quota_ledger(state: RegistryState, pool: str, opened_at: float) -> LoanBook:
-    """Return what was lent for a pool; each voter lends the same part of what may be lent."""
-    book = state.quota_ledgers.get(pool)
-    if book is None:
+    """Return the ledger of retry quota granted for a pool, sized to this voter's part of it."""
+    ledger = state.quota_ledgers.get(pool)
+    if ledger is None:
         bounds = state.settings.bounds
-        lendable = bounds.repeat_reserve * (1.0 - FLOOR_SHARE) * SHARE_USED
-        book = state.quota_ledgers[pool] = LoanBook(
-            lendable=lendable / count_granting_voters(state),
+        grantable = bounds.repeat_reserve * (1.0 - FLOOR_SHARE) * SHARE_USED
+        ledger = state.quota_ledgers[pool] = LoanBook(
+            lendable=grantable / count_granting_voters(state),
             window=bounds.repeat_window_seconds,
             opened_at=opened_at,
         )
-    return book
+    return ledger
--- a/src/ledgeladder/daemons/registry/state.py
+++ b/src/ledgeladder/daemons/registry/state.py
@@ -188,7 +188,7 @@
     """Quarantines request contents that crash upstreams; None until `build_state` sets it."""
 
     rate_granter: RateGranter | None = None
-    """Grants requests to upstreams that advertise a rate limit; None until `build_state` sets it."""
+    """Grants requests to rate-limited upstreams; None until `build_state` sets it."""
 
     stopping: bool = False
     """True once a planned stop has begun."""
--- a/src/ledgeladder/daemons/registry/upstream_exits.py
+++ b/src/ledgeladder/daemons/registry/upstream_exits.py
@@ -1,4 +1,4 @@
-"""Whether runs of upstreams that registered have ended."""
+"""Decides whether instances of registered upstreams have exited."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def build_quarantine_controller(state: RegistryState) -> QuarantineController:
-    """Return what judges contents with the links of a registry process."""
+    """Return a quarantine controller that uses the links of this process."""
     return QuarantineController(
         node=state.node,
         broadcast_to_entries=lambda message: post_to_all(state.entry_links.values(), message),
@@ -27,11 +27,11 @@
 
 
 def has_exited(state: RegistryState, instance: str) -> bool:
-    """Tell whether a run of an upstream has ended for certain.
+    """Return whether the exit of an upstream instance is confirmed.
 
-    It has once a newer run has registered in its place, if its heartbeats stay away, or if several
-    entry boxes found it dead since the last one. A box behind a cut that refuses connections says
-    so of upstreams that go on sending heartbeats.
+    It is if a newer instance has registered in its place, if its heartbeats are missing, or if
+    several entry boxes found it unreachable since the last heartbeat. A single entry box does not
+    suffice: a partition may refuse its connections while the upstream still sends heartbeats.
     """
     known = state.table.known.get(instance)
     if known is None:
@@ -44,5 +44,5 @@
         state.table.heartbeat,
         seen_until=controls_last_seen(state),
     )
-    # Last, since it looks at every upstream.
+    # Evaluated last because it iterates over all upstreams.
     return is_lost or instance in superseded_instances(state.table)
