--- a/src/ledgeladder/daemons/registry/http_api.py
+++ b/src/ledgeladder/daemons/registry/http_api.py
@@ -39,8 +39,8 @@
 """Largest document that an operator may publish."""
 
 READ_TIMEOUT_SECONDS: Final = 0.8
-"""How long a read waits until the newest version is confirmed. Below the timeout of one second after
-which operators try another box."""
+"""How long a read waits until the newest version is confirmed. Below the one second after which
+operators try another box."""
 
 OK: Final = 200
 
--- a/src/ledgeladder/daemons/registry/order_sending.py
+++ b/src/ledgeladder/daemons/registry/order_sending.py
@@ -29,8 +29,8 @@
 """Timeout of a call to an engine."""
 
 REQUESTS_PER_ORDER: Final = 2
-"""Requests of an order that count against the engine's rate limit: a report query and the order. The
-limit does not delay them, since an engine without its layers serves no requests."""
+"""Requests of an order that count against the engine's rate limit: a report query and the order.
+The limit does not delay them, since an engine without its layers serves no requests."""
 
 
 def may_order(state: RegistryState) -> bool:
--- a/src/ledgeladder/daemons/registry/peer_links.py
+++ b/src/ledgeladder/daemons/registry/peer_links.py
@@ -75,8 +75,8 @@
 """Interval at which a box that is not a member of the log requests membership."""
 
 LEADER_INACTIVITY_SECONDS: Final = 1.5
-"""A member without contact to a leader for this long may have been removed from the log and requests
-membership again."""
+"""A member without contact to a leader for this long may have been removed from the log, and
+requests membership again."""
 
 
 def send_log_message(state: RegistryState, envelope: Envelope) -> None:
--- a/src/ledgeladder/daemons/registry/placement.py
+++ b/src/ledgeladder/daemons/registry/placement.py
@@ -1,4 +1,4 @@
-"""Ordering engines to hold layers, and moving them after losses, while this box leads."""
+"""Assigns layers to engines, and moves engines after losses, while this box leads."""
 
 from __future__ import annotations
 
@@ -41,27 +41,27 @@
 logger = logging.getLogger(__name__)
 
 PLACEMENT_POLL_SECONDS: Final = 0.2
-"""How often the leader looks for engines without layers."""
+"""Interval at which the leader checks for engines without layers."""
 
 NEW_ENGINE_DEFER_SECONDS: Final = 1.2
-"""How long an engine that comes while the system serves waits for its layers. Where engines are
-replaced one after the other, the old one announces its end a second after the new one came, and the
-new one then takes over its layers."""
+"""How long a new engine waits for its layers while its pool serves. In a rolling replacement, the
+old engine starts draining a second after the new one registered, which then takes over its
+layers."""
 
 MAX_CONCURRENT_ORDERS: Final = 64
-"""Orders that are under way at once. Each takes two connections; thousands together would take the
-descriptors of the process and let calls time out that wait for its processor."""
+"""Maximum number of concurrent orders. Each takes two connections; thousands at once would exhaust
+the file descriptors and the CPU time of the process."""
 
 REPAIR_INTERVAL_SECONDS: Final = 0.6
-"""Time between two looks for gaps: losses come together, and the reports of several entry boxes
-come within half a second. A look over 99 engines that finds one takes some milliseconds."""
+"""Interval at which moves are planned. Losses are often correlated, and the reports of several
+entry boxes arrive within half a second."""
 
 
 async def run_placement(state: RegistryState) -> None:
-    """Order layers for engines that have none, and move some where layers were lost, for ever.
+    """Order layers for new engines, and move engines to lost layers, until cancelled.
 
-    A box that does not lead forgets its own orders. A new leader plans from what engines report and
-    from the orders that the last one told it.
+    A box that does not lead drops its own orders. A new leader plans from the holdings that engines
+    report and from the orders that the previous leader announced.
     """
     discoveries: dict[str, InitialDiscovery] = {}
     heartbeat = state.settings.bounds.heartbeat_ms / 1000.0
@@ -94,19 +94,21 @@
 def _is_discovered(
     discovery: InitialDiscovery, pool: UpstreamPool, engines: list[Registration]
 ) -> bool:
-    """Tell whether enough engines of a pool have come to plan over them."""
+    """Return whether enough engines of a pool have registered to plan their layers."""
     assert pool.engine is not None
     profile = pool.engine
-    serves = any(item.holdings for item in engines)
-    # Engines that serve are enough. Adding up all of them in each look is work for the start only.
-    is_enough = serves or profile.layers <= sum(max_layers(profile, item.card) for item in engines)
+    is_serving = any(item.holdings for item in engines)
+    # Skips the sum over all engines once the pool serves.
+    can_hold_model = is_serving or profile.layers <= sum(
+        max_layers(profile, item.card) for item in engines
+    )
     return discovery.is_complete(
-        len(engines), anyio.current_time(), is_serving=serves, can_hold_model=is_enough
+        len(engines), anyio.current_time(), is_serving=is_serving, can_hold_model=can_hold_model
     )
 
 
 def _with_slots(pool: UpstreamPool, engines: list[Registration]) -> UpstreamPool:
-    """Return a pool whose profile says how many requests its engines run at once, if they told."""
+    """Return a pool whose profile has the smallest number of slots that its engines report."""
     assert pool.engine is not None
     slots = min((item.slots for item in engines if item.slots > 1), default=0)
     return msgspec.structs.replace(pool, engine=msgspec.structs.replace(pool.engine, slots=slots))
@@ -127,19 +129,19 @@
 ) -> list[tuple[Registration, Holding]]:
     """Return the orders to engines without layers that are sent now.
 
-    The first plan is ordered at once: nothing is served before all of it is loaded. Once half of
-    the engines hold layers, no more loads are open than run at full speed: a few engines that are
-    back soon are worth more than many that load slowly. Moves that close a gap are not held back,
-    since a failure domain serves only once all of them are loaded.
+    The initial plan is ordered as a whole, since nothing is served before all of it is loaded. Once
+    half of the engines hold layers, the open loads are limited to those that run at full speed,
+    which returns the most urgent engines soonest. Moves that close a gap are not limited, since a
+    failure domain serves only once all of them are loaded.
 
     Args:
         state: The process's state.
         pool: The pool.
         engines: Its engines.
-        orders: Orders that are wanted, the most urgent first.
+        orders: Planned orders, the most urgent first.
 
     Returns:
-        The first of them, as many as may be open.
+        The first of these orders, as many as the limit permits.
     """
     assert pool.engine is not None
     serving = sum(bool(item.holdings) for item in engines)
@@ -159,7 +161,7 @@
     engines: list[Registration],
     orders: list[tuple[Registration, Holding]],
 ) -> None:
-    """Note orders that are about to be sent, with the time that their loads should take."""
+    """Record orders that are about to be sent, with the predicted time of their loads."""
     profile = pool.engine
     assert profile is not None
     now = anyio.current_time()
@@ -178,12 +180,12 @@
 
 
 def _pool_engines(state: RegistryState, pool: UpstreamPool) -> list[Registration]:
-    """Return the engines of a pool; one whose address a newer run has taken counts as leaving."""
-    old = superseded_instances(state.table)
+    """Return the engines of a pool; one whose address a newer instance uses counts as draining."""
+    superseded = superseded_instances(state.table)
     return [
         (
             msgspec.structs.replace(item.registration, state=UpstreamState.LEAVING)
-            if instance in old
+            if instance in superseded
             else item.registration
         )
         for instance, item in state.table.known.items()
@@ -194,7 +196,7 @@
 def _confirm_orders(state: RegistryState, engines: list[Registration]) -> None:
     reported = {item.instance: item.holdings for item in engines}
     for instance in reconcile(state.ledger, reported, anyio.current_time()):
-        logger.info("engine holds its layers", extra={"upstream": instance})
+        logger.info("engine loaded its layers", extra={"upstream": instance})
 
 
 def _to_placed_engines(state: RegistryState, engines: list[Registration]) -> list[PlacedEngine]:
@@ -213,22 +215,22 @@
 async def _plan_orders(
     state: RegistryState, pool: UpstreamPool, engines: list[Registration]
 ) -> list[tuple[Registration, Holding]]:
-    """Return the engines without layers that are to be ordered now, with their layers.
+    """Return the engines without layers that are ordered now, with their layers.
 
-    Also those whose order was not answered, or not carried out in time.
+    Includes those whose previous order was not answered or not executed in time.
     """
     chosen = await _plan_new_engines(state, pool, engines)
     now = anyio.current_time()
     by_instance = {item.instance: item for item in engines}
-    # In the order of the plan, so that what is needed most is loaded first.
-    wanted = chosen | {
+    # In the order of the plan, which has the most urgent layers first.
+    planned = chosen | {
         instance: order.holding
         for instance, order in state.ledger.sent.items()
         if instance in by_instance
     }
     return [
         (by_instance[instance], holding)
-        for instance, holding in wanted.items()
+        for instance, holding in planned.items()
         if not by_instance[instance].holdings and is_due(state.ledger, instance, now)
     ]
 
@@ -236,26 +238,26 @@
 async def _plan_new_engines(
     state: RegistryState, pool: UpstreamPool, engines: list[Registration]
 ) -> dict[str, Holding]:
-    """Choose layers for the engines that have none and were ordered none.
+    """Choose layers for the engines that have neither layers nor an order.
 
-    Nothing is worked out while there are none: a look over 3,000 engines takes a third of the time
-    between two looks. Other tasks run between two parts of a plan: a leader must send heartbeats.
+    Returns early if there are none, since a plan over thousands of engines takes a large part of
+    the poll interval. Yields between two parts of a plan, since a leader must send heartbeats.
     """
     assert pool.engine is not None
     ready = [item for item in engines if item.state is UpstreamState.READY]
-    waiting = _deferred_new_engines(state, engines)
+    deferred = _deferred_new_engines(state, engines)
     new_engines = [item for item in ready if _is_new_engine(state, item)]
-    if all(item.instance in waiting for item in new_engines):
+    if all(item.instance in deferred for item in new_engines):
         return {}
-    placed = _to_placed_engines(state, [item for item in ready if item.instance not in waiting])
-    leaving = _to_placed_engines(
+    placed = _to_placed_engines(state, [item for item in ready if item.instance not in deferred])
+    draining = _to_placed_engines(
         state, [item for item in engines if item.state is UpstreamState.LEAVING]
     )
     chosen: dict[str, Holding] = {}
-    shapes: PlanCache = {}
+    cache: PlanCache = {}
     for group in group_engines(pool.engine, placed):
         for part in split_group(group):
-            chosen |= plan_placement(pool.engine, part, leaving, shapes)
+            chosen |= plan_placement(pool.engine, part, draining, cache)
             await anyio.sleep(0)
     _warn_of_gaps(pool, [*(item.holding for item in placed if item.holding), *chosen.values()])
     return chosen
@@ -263,33 +265,33 @@
 
 def _warn_of_gaps(pool: UpstreamPool, holdings: list[Holding]) -> None:
     assert pool.engine is not None
-    lacking = missing_layers(pool.engine, holdings)
-    if lacking:
+    missing = missing_layers(pool.engine, holdings)
+    if missing:
         logger.warning(
             "layers without an engine",
             extra={
                 "pool": pool.name,
-                "layers": f"{lacking[0]}-{lacking[-1]}",
-                "count": len(lacking),
-                "short_mb": len(lacking) * pool.engine.layer_mb,
+                "layers": f"{missing[0]}-{missing[-1]}",
+                "count": len(missing),
+                "short_mb": len(missing) * pool.engine.layer_mb,
             },
         )
 
 
 def _is_new_engine(state: RegistryState, engine: Registration) -> bool:
-    """Tell whether an engine holds no layers and was ordered none."""
+    """Return whether an engine has neither layers nor an order."""
     return not engine.holdings and engine.instance not in state.ledger.sent
 
 
 def _deferred_new_engines(state: RegistryState, engines: list[Registration]) -> set[str]:
-    """Return the engines that have just come and wait for the end of another to be told.
+    """Return the new engines that wait for a draining engine whose layers they can take over.
 
-    One waits for a moment while the pool serves, unless an engine of its kind in its failure domain
-    has already said that it leaves.
+    An engine waits `NEW_ENGINE_DEFER_SECONDS` while the pool serves, unless an engine with the same
+    card in its failure domain is already draining.
     """
     if not any(item.holdings for item in engines):
         return set()
-    leaving = {
+    draining = {
         (item.card, item.failure_domain) for item in engines if item.state is UpstreamState.LEAVING
     }
     now = anyio.current_time()
@@ -297,7 +299,7 @@
         item.instance
         for item in engines
         if _is_new_engine(state, item)
-        and (item.card, item.failure_domain) not in leaving
+        and (item.card, item.failure_domain) not in draining
         and (known := state.table.known.get(item.instance)) is not None
         and now - known.first_seen_at < NEW_ENGINE_DEFER_SECONDS
     }
@@ -306,16 +308,16 @@
 def _plan_moves(
     state: RegistryState, pool: UpstreamPool, engines: list[Registration]
 ) -> list[tuple[Registration, Holding]]:
-    """Return the engines that are to be moved to layers that are lacking, with these layers.
+    """Return the engines that are moved to missing layers, with these layers.
 
-    Also those that were ordered to move, and neither answered nor reported the layers in time.
+    Includes those whose previous order to move was not answered or not executed in time.
     """
     assert pool.engine is not None
     now = anyio.current_time()
     if now - state.ledger.repaired_at < REPAIR_INTERVAL_SECONDS:
         return []
-    until = controls_last_seen(state)
-    up = {item.instance: item for item in engines if _is_up(state, item, now, until)}
+    seen_until = controls_last_seen(state)
+    up = {item.instance: item for item in engines if _is_up(state, item, now, seen_until)}
     orders = [
         (up[instance], order.holding)
         for instance, order in state.ledger.sent.items()
@@ -339,10 +341,12 @@
     return orders
 
 
-def _is_up(state: RegistryState, engine: Registration, now: float, until: float | None) -> bool:
-    """Tell whether an engine is ready and does not seem lost.
+def _is_up(
+    state: RegistryState, engine: Registration, now: float, seen_until: float | None
+) -> bool:
+    """Return whether an engine is ready and not presumed lost.
 
-    Its silence counts only while this box hears every control box that it knows of.
+    Missing heartbeats count only while every known control box is reachable.
     """
     known = state.table.known.get(engine.instance)
     if known is None or engine.state is not UpstreamState.READY:
@@ -354,12 +358,12 @@
         known.last_seen_at,
         now,
         heartbeat,
-        seen_until=until,
+        seen_until=seen_until,
     )
 
 
 def _effective_holding(state: RegistryState, engine: Registration) -> Holding | None:
-    """Return the layers that an engine was ordered to hold, or else those that it reports."""
+    """Return the layers of an engine's open order, or else those that it reports."""
     order = state.ledger.sent.get(engine.instance)
     if order is not None:
         return order.holding
--- a/src/ledgeladder/daemons/registry/quota_grants.py
+++ b/src/ledgeladder/daemons/registry/quota_grants.py
@@ -59,7 +59,7 @@
 
 
 def handle_quota_request(state: RegistryState, link: Link, request: LoanRequest) -> None:
-    """Grant retry quota to an entry box from this voter's part; the reply may grant less or none."""
+    """Grant an entry box as much of the requested retry quota as is left in this voter's part."""
     opened_at, count = state.voter_since, 0
     if opened_at is not None and may_grant(state):
         ledger = _quota_ledger(state, request.pool, opened_at)
