--- a/src/ledgeladder/daemons/registry/http_api.py
+++ b/src/ledgeladder/daemons/registry/http_api.py
@@ -25,8 +25,8 @@
     read_control_call,
 )
 from ..plain_problems import write_problem
-from .broadcasts import broadcast_registration
 from .published_version import publish, wait_until_fresh
+from .telling import broadcast_registration
 
 if TYPE_CHECKING:
     from ...http1 import Exchange, HttpRequest
--- a/src/ledgeladder/daemons/registry/peer_links.py
+++ b/src/ledgeladder/daemons/registry/peer_links.py
@@ -1,6 +1,6 @@
 """Serves the links of a registry process to other control boxes and to entry boxes.
 
-Periodic messages are sent by `broadcasts`.
+Periodic messages are sent by `telling`.
 """
 
 from __future__ import annotations
@@ -51,7 +51,6 @@
 from ..content_judge import handle_content_served, handle_crash_report, quarantine_update
 from ..peers import LINK_INACTIVITY_SECONDS, add_peers
 from ..rate_lender import apply_limits, handle_grant_request, limit_update
-from .broadcasts import broadcast_registration, build_peer_hint
 from .published_version import (
     handle_command_reply,
     handle_command_request,
@@ -60,6 +59,7 @@
 )
 from .quota_grants import handle_quota_request
 from .state import ReportedLoad, ReportedShare, quarantine_controller_of, rate_granter_of
+from .telling import broadcast_registration, build_peer_hint
 
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
--- a/tests/daemons/registry/test_broadcasts.py
+++ b/tests/daemons/registry/test_telling.py
@@ -13,7 +13,7 @@
 from ledgeladder.coordination.registrations import RegistrationTable
 from ledgeladder.coordination.upstream_order import UpstreamIndex
 from ledgeladder.daemons.peers import LINK_INACTIVITY_SECONDS
-from ledgeladder.daemons.registry import broadcasts
+from ledgeladder.daemons.registry import telling
 from ledgeladder.daemons.registry.state import PendingUpdates
 from ledgeladder.links.frames import FRAME_LIMIT, FrameBuffer
 from ledgeladder.links.messages import (
@@ -63,29 +63,29 @@
         voter_since=None,
     )
     hint = PeerHint(addresses=("10.0.0.1", "10.0.0.2"))
-    monkeypatch.setattr(broadcasts, "build_peer_hint", lambda _state: hint)
-    monkeypatch.setattr(broadcasts, "_known_controls", lambda _state: hint.addresses)
-    monkeypatch.setattr(broadcasts, "add_peers", lambda *_: None)
-    monkeypatch.setattr(broadcasts.anyio, "current_time", lambda: clock[0])
+    monkeypatch.setattr(telling, "build_peer_hint", lambda _state: hint)
+    monkeypatch.setattr(telling, "_known_controls", lambda _state: hint.addresses)
+    monkeypatch.setattr(telling, "add_peers", lambda *_: None)
+    monkeypatch.setattr(telling.anyio, "current_time", lambda: clock[0])
 
     async def sleep(seconds: float) -> None:
         clock[0] += seconds
-        if clock[0] > ROUNDS * broadcasts.AGES_INTERVAL_SECONDS:
+        if clock[0] > ROUNDS * telling.AGES_INTERVAL_SECONDS:
             raise TimeoutError
 
-    monkeypatch.setattr(broadcasts.anyio, "sleep", sleep)
+    monkeypatch.setattr(telling.anyio, "sleep", sleep)
 
     async def run() -> None:
         with pytest.raises(TimeoutError):
-            await broadcasts.broadcast_ages(state)
+            await telling.broadcast_ages(state)
 
     anyio.run(run)
-    end = ROUNDS * broadcasts.AGES_INTERVAL_SECONDS
+    end = ROUNDS * telling.AGES_INTERVAL_SECONDS
     assert longest_pause(opened.times(RegistrationAges), end) < LINK_INACTIVITY_SECONDS / 2
     assert longest_pause(accepted.times(PeerHint), end) < LINK_INACTIVITY_SECONDS / 2
     assert longest_pause(entry.times(RegistrationAges), end) < LINK_INACTIVITY_SECONDS / 2
     assert len(entry.times(PeerHint)) == 1 + int(
-        (end - broadcasts.AGES_INTERVAL_SECONDS) / broadcasts.HINT_INTERVAL_SECONDS
+        (end - telling.AGES_INTERVAL_SECONDS) / telling.HINT_INTERVAL_SECONDS
     )
 
 
@@ -99,11 +99,11 @@
         entry_links=dict(links),
         loads={},
     )
-    broadcasts.push_document(state)
+    telling.push_document(state)
     assert all(len(link.times(DocumentPush)) == 1 for link in links.values())
     # The link of box 9 has been closed since its report.
     state.loads = {2: None, 9: None}
-    broadcasts.push_document(state)
+    telling.push_document(state)
     assert [len(link.times(DocumentPush)) for link in links.values()] == [1, 2, 1]
 
 
@@ -139,7 +139,7 @@
         peers=SimpleNamespace(links={"10.0.0.2": peer}),
         entry_links={1: entry},
     )
-    monkeypatch.setattr(broadcasts.anyio, "current_time", lambda: clock[0])
+    monkeypatch.setattr(telling.anyio, "current_time", lambda: clock[0])
 
     async def sleep(seconds: float) -> None:
         until = clock[0] + seconds
@@ -148,29 +148,29 @@
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(broadcasts.broadcast_updates, state)
+            tasks.start_soon(telling.broadcast_updates, state)
             await anyio.lowlevel.checkpoint()
             for number in range(UPSTREAMS):
                 clock[0] = max(clock[0], number * REGISTER_SECONDS / UPSTREAMS)
                 state.table.known[registration(number).instance] = None
-                broadcasts.broadcast_registration(
+                telling.broadcast_registration(
                     state, registration(number), to_peers=number % 5 == 0
                 )
                 await anyio.lowlevel.checkpoint()
                 if number % 300 == 0:
-                    broadcasts._update_index(state)
-            clock[0] += broadcasts.MIN_UPDATE_INTERVAL_SECONDS
+                    telling._update_index(state)
+            clock[0] += telling.MIN_UPDATE_INTERVAL_SECONDS
             for _ in range(5):
                 await anyio.lowlevel.checkpoint()
-            broadcasts._update_index(state)
+            telling._update_index(state)
             tasks.cancel_scope.cancel()
 
-    monkeypatch.setattr(broadcasts.anyio, "sleep", sleep)
+    monkeypatch.setattr(telling.anyio, "sleep", sleep)
     anyio.run(run)
     frames = [message for _at, message in entry.posted if isinstance(message, RegistrationNews)]
     sent = [item.registration.instance for frame in frames for item in frame.told]
     assert sent == [registration(number).instance for number in range(UPSTREAMS)]
-    assert len(frames) <= 2 * REGISTER_SECONDS / broadcasts.MIN_UPDATE_INTERVAL_SECONDS
+    assert len(frames) <= 2 * REGISTER_SECONDS / telling.MIN_UPDATE_INTERVAL_SECONDS
     to_peer = [message for _at, message in peer.posted if isinstance(message, RegistrationNews)]
     assert sum(len(frame.told) for frame in to_peer) == UPSTREAMS / 5
     # Only the added ids are sent, not the whole index at each change.
--- a/tests/daemons/test_content_judge.py
+++ b/tests/daemons/test_content_judge.py
@@ -16,7 +16,7 @@
 from ledgeladder.coordination.registrations import RegistrationTable, apply_registration
 from ledgeladder.daemons import content_judge
 from ledgeladder.daemons.content_judge import QuarantineController
-from ledgeladder.daemons.registry.upstream_exits import has_exited
+from ledgeladder.daemons.registry.upstream_ends import has_exited
 from ledgeladder.links import post_to_all
 from ledgeladder.links.frames import FRAME_LIMIT, FrameBuffer
 from ledgeladder.links.messages import (
