--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -31,11 +31,11 @@
 from ..signals import on_stop_signal
 from ..supervisor import Child, Restart, supervise
 from .http_api import build_site
+from .lending import build_rate_granter
 from .metrics import metrics_lines
 from .peer_links import send_log_message, serve_accepted_link, serve_control_link
 from .placement import run_placement
 from .published_version import poll_leader
-from .quota_grants import build_rate_granter
 from .state import RegistryState, quarantine_controller_of, rate_granter_of
 from .telling import broadcast_ages, broadcast_loads, broadcast_updates, push_document
 from .upstream_ends import build_quarantine_controller
--- a/src/ledgeladder/daemons/registry/peer_links.py
+++ b/src/ledgeladder/daemons/registry/peer_links.py
@@ -51,13 +51,13 @@
 from ..content_judge import handle_content_served, handle_crash_report, quarantine_update
 from ..peers import LINK_INACTIVITY_SECONDS, add_peers
 from ..rate_lender import apply_limits, handle_grant_request, limit_update
+from .lending import handle_quota_request
 from .published_version import (
     handle_command_reply,
     handle_command_request,
     handle_version_query,
     handle_version_reply,
 )
-from .quota_grants import handle_quota_request
 from .state import ReportedLoad, ReportedShare, quarantine_controller_of, rate_granter_of
 from .telling import broadcast_registration, build_peer_hint
 
--- a/src/ledgeladder/daemons/registry/telling.py
+++ b/src/ledgeladder/daemons/registry/telling.py
@@ -30,8 +30,8 @@
 from ...routing.load_sharing import is_report_due, load_interval
 from ...storage import box_of
 from ..peers import add_peers
+from .lending import update_voter_status
 from .load_totals import count_entries, drop_expired_reports, local_loads, sum_loads
-from .quota_grants import update_voter_status
 
 if TYPE_CHECKING:
     from ...coordination.upstream_order import UpstreamIndex
