--- a/tests/routing/test_group_plan.py
+++ b/tests/routing/test_group_plan.py
@@ -72,8 +72,7 @@
 
 
 def test_single_copy_on_few_engines_leaves_request_capacity() -> None:
-    """Guards against dividing by memory domain_rate, which would leave the smallest cards little
-    capacity."""
+    """Dividing by memory alone would leave the smallest cards little capacity."""
     members = make_engines("a", fast=2, middle=2, slow=3)
     chosen = plan_group(SMALL, members)
     assert missing_layers(SMALL, chosen.values()) == []
--- a/tests/routing/test_paths.py
+++ b/tests/routing/test_paths.py
@@ -199,10 +199,10 @@
     note_lost(lost, 1.0)
     rng = random.Random(7)
     chosen = [choose_path(PROFILE, pool, make_request("b"), 2.5, rng=rng) for _ in range(40)]
-    passed = Counter(part.instance for path in chosen if path for part in path.parts)
-    alone = choose_path(PROFILE, pool, make_request("b"), 2.5)
-    assert alone is not None
-    assert len(passed) > len(alone.parts)
+    usage = Counter(part.instance for path in chosen if path for part in path.parts)
+    without_jitter = choose_path(PROFILE, pool, make_request("b"), 2.5)
+    assert without_jitter is not None
+    assert len(usage) > len(without_jitter.parts)
 
 
 def test_other_boxes_are_assumed_to_grow_like_this_one_since_last_report() -> None:
