--- a/tests/daemons/test_full_disk.py
+++ b/tests/daemons/test_full_disk.py
@@ -1,4 +1,4 @@
-"""A control box whose disk is full stands still, says so, and goes on when there is room."""
+"""A control box with a full disk rejects writes and resumes once there is space."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Disk:
-    """Stands for the disk: writes at most some bytes of a call, then reports that it is full."""
+    """A simulated disk; while it is full, a write stores half of its bytes and fails."""
 
     def __init__(self) -> None:
         self.full = False
@@ -38,9 +38,9 @@
 
 @pytest.fixture
 def disk(monkeypatch: pytest.MonkeyPatch) -> Disk:
-    made = Disk()
-    monkeypatch.setattr(journal_module, "write_whole", made.write_whole)
-    return made
+    simulated = Disk()
+    monkeypatch.setattr(journal_module, "write_whole", simulated.write_whole)
+    return simulated
 
 
 def build(
@@ -60,9 +60,9 @@
 
 
 def lead(node: ControlNode) -> float:
-    """Make a node lead whose other voters grant their votes; returns the time of it."""
+    """Make a node the leader with the votes of all voters; return the time of its election."""
     replica = node.replica
-    # Its own vote counts once the silence after its start is over.
+    # A node grants no vote, not even its own, until one election timeout after its start.
     now = replica.leader_heard_at + replica.timing.election + 0.01
     raft.tick(replica, now, node.rng)
     process_ready(node)
@@ -77,7 +77,9 @@
     return now
 
 
-def test_journal_takes_the_same_again_once_there_is_room(tmp_path: Path, disk: Disk) -> None:
+def test_journal_accepts_a_failed_write_again_once_there_is_space(
+    tmp_path: Path, disk: Disk
+) -> None:
     journal, _ = open_journal(tmp_path)
     entries = [
         raft.LogEntry(index=n, term=1, kind=raft.EntryKind.COMMAND, data=b"x") for n in (1, 2)
@@ -96,8 +98,8 @@
     assert recovered.cut_bytes == 0
 
 
-def test_full_disk_hinders_nobody_from_opening_a_folder(tmp_path: Path) -> None:
-    """A torn tail cannot be cut off then; it is with the next write."""
+def test_folder_can_be_opened_while_the_disk_is_full(tmp_path: Path) -> None:
+    """The torn tail cannot be truncated yet, so the next write must truncate it."""
     journal, _ = open_journal(tmp_path)
     entry = raft.LogEntry(index=1, term=1, kind=raft.EntryKind.COMMAND, data=b"x")
     journal.write(None, [entry])
@@ -105,10 +107,10 @@
     with (tmp_path / JOURNAL_FILE).open("ab") as file:
         file.write(b"\x00\x00\x00\x40torn")
 
-    def full(_descriptor: int) -> None:
+    def fail_sync(_descriptor: int) -> None:
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
-    journal, recovered = open_journal(tmp_path, sync=full)
+    journal, recovered = open_journal(tmp_path, sync=fail_sync)
     assert recovered.entries == [entry]
     journal.sync = os.fsync
     following = raft.LogEntry(index=2, term=1, kind=raft.EntryKind.COMMAND, data=b"y")
@@ -118,9 +120,7 @@
     assert recovered.entries == [entry, following]
 
 
-def test_leader_whose_disk_is_full_asks_another_to_lead_and_sends_nothing_else(
-    tmp_path: Path, disk: Disk
-) -> None:
+def test_leader_with_full_disk_only_hands_over_the_leadership(tmp_path: Path, disk: Disk) -> None:
     sent: list[raft.Envelope] = []
     node = build(tmp_path / "a", ("a/initial", "b/initial", "c/initial"), sent.append)
     now = lead(node)
@@ -131,7 +131,7 @@
     process_ready(node)
     assert not node.replica.is_leader
     assert [type(item.message) for item in sent] == [raft.ElectNow]
-    # It acknowledges nothing and grants no vote while nothing can be written.
+    # It must not acknowledge entries or grant votes that it cannot store.
     sent.clear()
     vote = raft.VoteRequest(term=9, last_index=9, last_term=9, trial=False, handover=True)
     node.receive(raft.Envelope(sender="b/initial", target="a/initial", message=vote))
@@ -146,7 +146,7 @@
     node.journal.close()
 
 
-def test_nothing_acknowledged_is_lost_and_writes_are_refused_by_number(
+def test_full_disk_rejects_writes_with_a_result_code_and_loses_no_acknowledged_one(
     tmp_path: Path, disk: Disk
 ) -> None:
     node = build(tmp_path / "a", ("a/initial",), lambda envelope: None)
@@ -161,9 +161,9 @@
             tasks.start_soon(submit, node, PublishCommand(version=2, body=b"two", time_ms=2))
             while not node.disk_is_full:
                 await anyio.sleep(0.01)
-            refused = await submit(node, PublishCommand(version=3, body=b"three", time_ms=3))
-            assert isinstance(refused, Failure)
-            assert refused.failure().code is ResultCode.DISK_FULL
+            rejected = await submit(node, PublishCommand(version=3, body=b"three", time_ms=3))
+            assert isinstance(rejected, Failure)
+            assert rejected.failure().code is ResultCode.DISK_FULL
             assert node.state.published.version == first.unwrap().version == 1
             disk.full = False
             while node.disk_is_full or not node.replica.is_leader:
--- a/tests/daemons/test_late_orders.py
+++ b/tests/daemons/test_late_orders.py
@@ -1,4 +1,4 @@
-"""Orders that arrive late at engines that check no terms."""
+"""Delayed orders to engines that do not check the term of an order."""
 
 from __future__ import annotations
 
@@ -58,10 +58,10 @@
     )
 
 
-def test_order_that_was_made_before_a_newer_one_is_refused(
+def test_delayed_order_is_rejected_after_a_newer_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The old leader asked the engine, froze, and its order leaves when another one was obeyed."""
+    """A frozen old leader must not override the order of its successor when it resumes."""
     monkeypatch.setattr(order_sending, "may_order", lambda state: True)
     upstream = engine(tmp_path)
     registered = Registration(instance=upstream.instance, sequence=1, address=upstream.address)
@@ -88,7 +88,7 @@
     assert upstream.layers == (8, 16)
 
 
-def test_order_of_a_leader_that_has_lost_its_lease_is_not_sent(
+def test_leader_with_expired_lease_sends_no_order(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(order_sending, "may_order", lambda state: False)
--- a/tests/daemons/test_lost_disks.py
+++ b/tests/daemons/test_lost_disks.py
@@ -1,4 +1,4 @@
-"""Disks lost while all other boxes stop at the same moment, over real processes."""
+"""Loss of a disk while all other boxes stop at the same time, with real processes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def read_version(fleet: DiscoveredFleet, number: int) -> int:
-    """Return the version that a registry reads back; 0 if it is not sure."""
+    """Return the version that a registry confirms as the newest; 0 if it confirms none."""
     with contextlib.suppress(httpx.HTTPError):
         answer = fleet.client.get(f"http://{fleet.control_addresses[number]}/api/config")
         if answer.status_code == 200:
@@ -32,8 +32,8 @@
     return False
 
 
-def test_acknowledged_document_outlasts_a_lost_disk_and_the_stop_of_all_boxes() -> None:
-    """The pattern: a document was just acknowledged by the box that loses its disk."""
+def test_acknowledged_document_survives_disk_loss_and_restart_of_all_boxes() -> None:
+    """An acknowledged document must not exist only on the disk of the box that acknowledged it."""
     with running_discovered_fleet(engines=0) as fleet:
         for wiped in range(fleet.registries):
             fleet.publish_next()
