--- a/src/ledgeladder/daemons/registry/http_api.py
+++ b/src/ledgeladder/daemons/registry/http_api.py
@@ -82,7 +82,7 @@
     """Apply a registration, broadcast it if it is new, then acknowledge it."""
     registration = call.registration
     counters["registrations"] += 1
-    if not _has_known_pool(state, registration):
+    if not _accepts_pool(state, registration):
         detail = f"{registration.instance}: no pool {registration.pool!r}"
         await write_problem(exchange, Problem(code=ResultCode.REGISTRATION_INVALID, detail=detail))
         return
@@ -103,7 +103,7 @@
     await exchange.answer(OK, JSON_HEADERS, ACKNOWLEDGED)
 
 
-def _has_known_pool(state: RegistryState, registration: Registration) -> bool:
+def _accepts_pool(state: RegistryState, registration: Registration) -> bool:
     """Return whether a registration is acceptable with the pools of the document.
 
     Accepted without such a pool are all registrations while there is no document, those of draining
--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -86,7 +86,7 @@
     def send(envelope: Envelope) -> None:
         send_log_message(built[0], envelope)
 
-    def changed() -> None:
+    def on_change() -> None:
         built[0].published_changed.set()
 
     own = settings.box.address
@@ -96,7 +96,7 @@
         link_port=settings.cluster.link_port,
         serve=serve,
     )
-    node = _open_node(settings, send, changed)
+    node = _open_node(settings, send, on_change)
     state = RegistryState(settings=settings, node=node, peers=peers)
     state.quarantine_controller = build_quarantine_controller(state)
     state.rate_granter = build_rate_granter(state)
@@ -109,7 +109,7 @@
 def _open_node(
     settings: RegistrySettings,
     send: Callable[[Envelope], None],
-    changed: Callable[[], None],
+    on_change: Callable[[], None],
 ) -> ControlNode:
     folder, cluster, own = (
         settings.registry.data_folder,
@@ -140,7 +140,7 @@
         ),
         snapshot_entries=settings.registry.snapshot_entries,
         send=send,
-        on_change=changed,
+        on_change=on_change,
         rng=random.Random(),
     )
     node.choose_members = lambda replica, applicants, now: next_voters(
@@ -208,14 +208,14 @@
     site = build_site(state, counters)
     link_address = f"{settings.box.address}:{settings.cluster.link_port}"
 
-    async def accepted(link: Link) -> None:
+    async def on_accepted(link: Link) -> None:
         await serve_accepted_link(state, link)
 
     children = [
         Child(name="log", run=lambda: run_log(state.node), restart=Restart.NEVER),
         Child(
             name="links",
-            run=lambda: serve_links(link_address, state.peers.identity, accepted),
+            run=lambda: serve_links(link_address, state.peers.identity, on_accepted),
             restart=Restart.ALWAYS,
         ),
         Child(name="http", run=lambda: serve_http1(settings.registry.address, site)),
--- a/src/ledgeladder/daemons/registry/metrics.py
+++ b/src/ledgeladder/daemons/registry/metrics.py
@@ -26,6 +26,6 @@
         "upstreams": float(len(state.table.known)),
         "entry_links": float(len(state.entry_links)),
         "control_links": float(len(state.peers.links)),
-        "orders_unconfirmed": float(len(state.ledger.sent)),
+        "orders_unconfirmed": float(len(state.order_ledger.sent)),
     }
     return [*counter_lines(counters), *gauge_lines(gauges)]
--- a/src/ledgeladder/daemons/registry/order_sending.py
+++ b/src/ledgeladder/daemons/registry/order_sending.py
@@ -36,7 +36,7 @@
 def may_order(state: RegistryState) -> bool:
     """Return whether this box holds the lease in a term that no engine has fenced off."""
     replica = state.node.replica
-    if replica.term in state.ledger.fenced_terms or state.stopping:
+    if replica.term in state.order_ledger.fenced_terms or state.stopping:
         return False
     return raft.holds_lease(replica, clock.now())
 
@@ -52,12 +52,12 @@
     The announcement comes first: a new leader must not repeat an order that was already sent.
     """
     fence = state.node.replica.term
-    order = state.ledger.sent.get(engine.instance)
+    order = state.order_ledger.sent.get(engine.instance)
     seconds = order.load_seconds if order is not None else 0.0
     update = OrderNews(instance=engine.instance, holding=holding, load_seconds=seconds)
     post_to_all(state.peers.links.values(), update)
     outcome = await send_order(state, engine, holding, fence)
-    record_outcome(state.ledger, engine.instance, outcome, fence)
+    record_outcome(state.order_ledger, engine.instance, outcome, fence)
     logger.info(
         "layers ordered",
         extra={
--- a/src/ledgeladder/daemons/registry/peer_links.py
+++ b/src/ledgeladder/daemons/registry/peer_links.py
@@ -195,7 +195,7 @@
             )
         case OrderNews() if is_control:
             record_reported_order(
-                state.ledger,
+                state.order_ledger,
                 message.instance,
                 message.holding,
                 message.load_seconds,
--- a/src/ledgeladder/daemons/registry/placement.py
+++ b/src/ledgeladder/daemons/registry/placement.py
@@ -68,9 +68,9 @@
     while True:
         await anyio.sleep(PLACEMENT_POLL_SECONDS)
         if not may_order(state) or state.configuration is None:
-            step_down(state.ledger, anyio.current_time())
+            step_down(state.order_ledger, anyio.current_time())
             continue
-        resume_reported_orders(state.ledger)
+        resume_reported_orders(state.order_ledger)
         pools = [pool for pool in state.configuration.pools.values() if pool.engine is not None]
         engines = {pool.name: _pool_engines(state, pool) for pool in pools}
         pools = [_with_slots(pool, engines[pool.name]) for pool in pools]
@@ -150,7 +150,8 @@
     now = anyio.current_time()
     names = {item.instance for item in engines}
     open_loads = sum(
-        name in names and not is_due(state.ledger, name, now) for name in state.ledger.sent
+        name in names and not is_due(state.order_ledger, name, now)
+        for name in state.order_ledger.sent
     )
     return orders[: max(0, pool.engine.loads_at_once - open_loads)]
 
@@ -170,7 +171,7 @@
     for engine, holding in orders:
         layers = _layers_to_load(engine, holding)
         seconds = load_seconds(profile, layers, loads)
-        record_sent(state.ledger, engine.instance, holding, now, seconds)
+        record_sent(state.order_ledger, engine.instance, holding, now, seconds)
 
 
 def _layers_to_load(engine: Registration, holding: Holding) -> int:
@@ -195,7 +196,7 @@
 
 def _confirm_orders(state: RegistryState, engines: list[Registration]) -> None:
     reported = {item.instance: item.holdings for item in engines}
-    for instance in reconcile(state.ledger, reported, anyio.current_time()):
+    for instance in reconcile(state.order_ledger, reported, anyio.current_time()):
         logger.info("engine loaded its layers", extra={"upstream": instance})
 
 
@@ -206,7 +207,7 @@
             failure_domain=item.failure_domain,
             card=item.card,
             holding=_effective_holding(state, item),
-            is_loaded=item.instance not in state.ledger.sent,
+            is_loaded=item.instance not in state.order_ledger.sent,
         )
         for item in engines
     ]
@@ -225,13 +226,13 @@
     # In the order of the plan, which has the most urgent layers first.
     planned = chosen | {
         instance: order.holding
-        for instance, order in state.ledger.sent.items()
+        for instance, order in state.order_ledger.sent.items()
         if instance in by_instance
     }
     return [
         (by_instance[instance], holding)
         for instance, holding in planned.items()
-        if not by_instance[instance].holdings and is_due(state.ledger, instance, now)
+        if not by_instance[instance].holdings and is_due(state.order_ledger, instance, now)
     ]
 
 
@@ -280,7 +281,7 @@
 
 def _is_new_engine(state: RegistryState, engine: Registration) -> bool:
     """Return whether an engine has neither layers nor an order."""
-    return not engine.holdings and engine.instance not in state.ledger.sent
+    return not engine.holdings and engine.instance not in state.order_ledger.sent
 
 
 def _deferred_new_engines(state: RegistryState, engines: list[Registration]) -> set[str]:
@@ -314,14 +315,14 @@
     """
     assert pool.engine is not None
     now = anyio.current_time()
-    if now - state.ledger.repaired_at < REPAIR_INTERVAL_SECONDS:
+    if now - state.order_ledger.repaired_at < REPAIR_INTERVAL_SECONDS:
         return []
     seen_until = controls_last_seen(state)
     up = {item.instance: item for item in engines if _is_up(state, item, now, seen_until)}
     orders = [
         (up[instance], order.holding)
-        for instance, order in state.ledger.sent.items()
-        if instance in up and is_due(state.ledger, instance, now)
+        for instance, order in state.order_ledger.sent.items()
+        if instance in up and is_due(state.order_ledger, instance, now)
     ]
     moves = plan_repairs(pool.engine, _to_placed_engines(state, list(up.values())))
     for spare, holding in moves:
@@ -337,7 +338,7 @@
             },
         )
         orders.append((up[spare.instance], holding))
-    state.ledger.repaired_at = now
+    state.order_ledger.repaired_at = now
     return orders
 
 
@@ -364,7 +365,7 @@
 
 def _effective_holding(state: RegistryState, engine: Registration) -> Holding | None:
     """Return the layers of an engine's open order, or else those that it reports."""
-    order = state.ledger.sent.get(engine.instance)
+    order = state.order_ledger.sent.get(engine.instance)
     if order is not None:
         return order.holding
     return max(engine.holdings, key=lambda item: item.end - item.first, default=None)
--- a/src/ledgeladder/daemons/registry/state.py
+++ b/src/ledgeladder/daemons/registry/state.py
@@ -155,7 +155,7 @@
     `id` of its link."""
 
     waiters: dict[int, CommandWaiter] = msgspec.field(default_factory=dict)
-    """Commands that were forwarded to the leader, by call number."""
+    """Tasks that wait for the leader's reply to a forwarded command, by call number."""
 
     next_call: int = 1
     """Call number of the next forwarded command."""
@@ -166,7 +166,7 @@
     voter_since: float | None = None
     """When this box became a voter, on the monotonic clock; None while it is not one."""
 
-    ledger: OrderLedger = msgspec.field(default_factory=OrderLedger)
+    order_ledger: OrderLedger = msgspec.field(default_factory=OrderLedger)
     """Open orders to engines, of this box or of the leader."""
 
     configuration: TrafficConfiguration | None = None
@@ -197,10 +197,10 @@
 def controls_last_seen(state: RegistryState) -> float | None:
     """Return the oldest moment at which any other control box was last seen.
 
-    Engines send heartbeats to one control box. If that box is partitioned, their heartbeats stop
-    arriving here at once, but its links time out only seconds later. Inactivity of engines is
-    therefore measured up to this moment; otherwise they would be presumed lost, and other engines
-    moved to take over their layers.
+    Heartbeats that engines send to another control box arrive here over its links. If that box is
+    partitioned, they stop at once, but its links time out only seconds later. Inactivity of engines
+    is therefore measured up to this moment; otherwise engines that are running would be presumed
+    lost, and others moved to take over their layers.
 
     Returns:
         Monotonic time, infinite without other control boxes; None while one of them is unreachable.
--- a/tests/daemons/registry/test_http_api.py
+++ b/tests/daemons/registry/test_http_api.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ledgeladder.coordination.registrations import RegistrationTable, apply_registration
-from ledgeladder.daemons.registry.http_api import _has_known_pool
+from ledgeladder.daemons.registry.http_api import _accepts_pool
 from ledgeladder.model.registration import Registration, UpstreamState
 
 
@@ -38,4 +38,4 @@
     registration = Registration(instance="i-1", sequence=2, pool=pool, address="a:1", state=state)
     if is_known:
         apply_registration(registry.table, registration, 0.0)
-    assert _has_known_pool(registry, registration) is is_accepted
+    assert _accepts_pool(registry, registration) is is_accepted
