--- a/src/ledgeladder/daemons/entry/answers.py
+++ b/src/ledgeladder/daemons/entry/answers.py
@@ -126,12 +126,12 @@
         try:
             session = await _run(writer.context, permit, prompt, max_tokens, writer.emit)
             await writer.finish(session)
-            note_code(writer.context, ResultCode.OK)
+            record_code(writer.context, ResultCode.OK)
         except ProblemError as error:
-            note_problem(writer.context, error.problem, writer.label.request_id)
+            record_problem(writer.context, error.problem, writer.label.request_id)
             await writer.fail(error.problem, scope, receive)
 
-    await until_caller_leaves(work, receive)
+    await cancel_on_disconnect(work, receive)
 
 
 async def _run(
@@ -151,12 +151,12 @@
             deadline=permit.deadline,
             arrived_at=permit.arrived_at,
             allowed=permit.allowed,
-            content=permit.content,
+            fingerprint=permit.fingerprint,
         )
         return await generate(context, request, emit)
 
 
-async def until_caller_leaves(work: Callable[[], Awaitable[None]], receive: Receive) -> None:
+async def cancel_on_disconnect(work: Callable[[], Awaitable[None]], receive: Receive) -> None:
     """Run work, and cancel it if the caller closes the connection."""
     async with anyio.create_task_group() as tasks:
 
@@ -170,14 +170,14 @@
         tasks.cancel_scope.cancel()
 
 
-def note_code(context: EntryContext, code: ResultCode) -> None:
+def record_code(context: EntryContext, code: ResultCode) -> None:
     """Count an answer."""
     context.metrics.codes[code.name] += 1
 
 
-def note_problem(context: EntryContext, problem: Problem, request_id: str) -> None:
+def record_problem(context: EntryContext, problem: Problem, request_id: str) -> None:
     """Count and log a refusal or failure."""
-    note_code(context, problem.code)
+    record_code(context, problem.code)
     extra = {
         "request_id": request_id,
         "code": int(problem.code),
--- a/src/ledgeladder/daemons/entry/attempt.py
+++ b/src/ledgeladder/daemons/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a generation request: following the head, and watching its progress."""
+"""Runs one attempt of a generation request: streams from its head and monitors its progress."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from ..limit_keeper import record_advertised_rate
 from .context import limit_keeper_of
 from .metrics import record
-from .watching import answers
+from .watching import responds_to_probe
 
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
@@ -40,134 +40,137 @@
 logger = logging.getLogger(__name__)
 
 Emit = Callable[[list[str]], Awaitable[None]]
-"""Passes texts of accepted tokens on to the caller."""
+"""Forwards texts of accepted tokens to the caller."""
 
 
 class Generation(msgspec.Struct, frozen=True, kw_only=True):
-    """A generation request after all checks."""
+    """A generation request that passed all checks."""
 
     pipeline: Pipeline
-    """Pipeline that it runs on."""
+    """Pipeline that runs it."""
 
     prompt: str
     """Prompt."""
 
     max_tokens: int
-    """Most tokens of the answer."""
+    """Maximum number of tokens of the answer."""
 
     rank: int
     """Rank of its priority."""
 
     deadline: float
-    """When it must be answered, on the monotonic clock."""
+    """Deadline of the answer, on the monotonic clock."""
 
     arrived_at: float
-    """When it arrived."""
+    """Time of arrival, on the monotonic clock."""
 
     allowed: Callable[[UpstreamView], bool]
-    """Which upstreams its policy allows."""
+    """Returns whether its policy allows an upstream."""
 
-    content: bytes = b""
-    """Mark of its content."""
+    fingerprint: bytes = b""
+    """Fingerprint of its content."""
 
 
-class AttemptEnd(StrEnum):
-    """How an attempt ended."""
+class AttemptResult(StrEnum):
+    """Result of an attempt."""
 
     COMPLETE = "complete"
-    """The answer is whole."""
+    """The answer is complete."""
 
     LOST = "lost"
     """Some stages failed."""
 
     REFUSED = "refused"
-    """A stage refused the work."""
+    """A stage is alive and refused the request."""
 
 
 class AttemptOutcome(msgspec.Struct, kw_only=True):
-    """How an attempt ended, and on whose account."""
+    """How an attempt ended, and which upstreams caused it."""
 
-    end: AttemptEnd
-    """How it ended."""
+    result: AttemptResult
+    """The result."""
 
     blamed: frozenset[str] = frozenset()
     """Upstreams that failed or refused."""
 
-    leaving: bool = False
-    """True if an upstream refused because it is leaving."""
+    draining: bool = False
+    """True if an upstream refused because it is draining."""
 
-    limited: bool = False
-    """True if nothing was sent, since upstreams take no more requests in this second."""
+    rate_limited: bool = False
+    """True if nothing was sent because the rate limit of an upstream is used up for now."""
 
-    rest_seconds: float | None = None
-    """How long the upstream that refused wants nothing more from this box, if it said so."""
+    backoff_seconds: float | None = None
+    """Back-off that the upstream requested with its refusal, in seconds."""
 
     reached: frozenset[str] = frozenset()
-    """Upstreams that lived when the attempt came to them: the head if it took the request, and all
-    once there was a token. One that had ended before is no evidence against the request."""
+    """Upstreams that were alive when the attempt reached them: the head once it accepted the
+    request, and all stages after the first token. An upstream that exited earlier is no evidence
+    that the request crashed it."""
 
 
 class Attempt(msgspec.Struct, kw_only=True):
-    """One attempt while it runs."""
+    """State of a running attempt."""
 
     outcome: AttemptOutcome
-    """How it ends; the loss of the head until something else is known."""
+    """Its outcome; loss of the head until another one is known."""
 
-    moved_at: float
-    """When it last made progress, on the monotonic clock."""
+    last_progress_at: float
+    """Time of its latest progress, on the monotonic clock."""
 
     blocked: bool = False
-    """True while the caller does not take what is sent."""
+    """True while a write to the caller is in progress."""
 
     reached: frozenset[str] = frozenset()
-    """Upstreams that lived when the attempt came to them."""
+    """Upstreams that were alive when the attempt reached them."""
 
 
 class Progress(msgspec.Struct, kw_only=True):
-    """Timing of one request over all its attempts."""
+    """Timing of a request over all its attempts."""
 
     pace: Pace = msgspec.field(default_factory=Pace)
     """Gaps between tokens."""
 
     last_token_at: float = 0.0
-    """When the newest token was accepted, or the request arrived."""
+    """Time at which the latest token was accepted, or at which the request arrived."""
 
     recovering: bool = False
-    """True from the loss of a stage to the next token."""
+    """True from the loss of a stage until the next token."""
 
 
 async def run_attempt(
     context: EntryContext, request: Generation, session: Session, progress: Progress, emit: Emit
 ) -> AttemptOutcome:
-    """Run the current attempt: follow the head, with a watch on progress beside it."""
+    """Run the current attempt: stream from the head, and monitor progress concurrently."""
     assert session.route is not None
     views = [context.upstreams.views.get(name) for name in session.route.upstreams]
-    held = [view for view in views if view is not None]
+    known = [view for view in views if view is not None]
     head = frozenset({session.route.head.upstream})
     at = now()
-    lacking = frozenset(view.upstream.name for view in held if not has_grant(view.limit, at))
-    if lacking:
-        return AttemptOutcome(end=AttemptEnd.REFUSED, blamed=lacking, limited=True)
-    take_grants([view.limit for view in held], at)
-    attempt = Attempt(outcome=AttemptOutcome(end=AttemptEnd.LOST, blamed=head), moved_at=now())
-    for view in held:
+    without_grant = frozenset(view.upstream.name for view in known if not has_grant(view.limit, at))
+    if without_grant:
+        return AttemptOutcome(result=AttemptResult.REFUSED, blamed=without_grant, rate_limited=True)
+    take_grants([view.limit for view in known], at)
+    attempt = Attempt(
+        outcome=AttemptOutcome(result=AttemptResult.LOST, blamed=head), last_progress_at=now()
+    )
+    for view in known:
         view.in_flight += 1
     try:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(_watch_progress, context, session, progress, attempt, tasks)
-            await _follow_head(context, request, session, progress, attempt, emit)
+            await _stream_from_head(context, request, session, progress, attempt, emit)
             tasks.cancel_scope.cancel()
     finally:
-        for view in held:
+        for view in known:
             view.in_flight -= 1
     attempt.outcome.reached = attempt.reached
-    if attempt.outcome.end is AttemptEnd.COMPLETE:
-        for view in held:
+    if attempt.outcome.result is AttemptResult.COMPLETE:
+        for view in known:
             note_success(view)
     return attempt.outcome
 
 
-async def _follow_head(
+async def _stream_from_head(
     context: EntryContext,
     request: Generation,
     session: Session,
@@ -175,7 +178,7 @@
     attempt: Attempt,
     emit: Emit,
 ) -> None:
-    """Judge frames as the head sends them, until the attempt has an outcome."""
+    """Handle frames from the head until the attempt has an outcome."""
     assert session.route is not None
     run = make_run_request(
         session=session.session_id,
@@ -189,34 +192,34 @@
     )
     head, sent_at = session.route.head.upstream, now()
 
-    def take_rate(named: NamedRate | None) -> None:
-        record_advertised_rate(limit_keeper_of(context), head, named, sent_at, is_own=True)
+    def record_rate(advertised: NamedRate | None) -> None:
+        record_advertised_rate(limit_keeper_of(context), head, advertised, sent_at, is_own=True)
 
     try:
-        async with aclosing(run_on_engine(context.client, run, take_rate)) as batches:
+        async with aclosing(run_on_engine(context.client, run, record_rate)) as batches:
             async for frames in batches:
-                texts, lost = _take_in(context, session, progress, frames)
+                texts, lost = _handle_frames(context, session, progress, frames)
                 if texts:
                     attempt.reached = session.route.upstreams
                     attempt.blocked = True
                     await emit(texts)
                     attempt.blocked = False
-                    attempt.moved_at = now()
+                    attempt.last_progress_at = now()
                 if session.ended:
-                    attempt.outcome = AttemptOutcome(end=AttemptEnd.COMPLETE)
+                    attempt.outcome = AttemptOutcome(result=AttemptResult.COMPLETE)
                     return
                 if lost is not None:
                     attempt.outcome = lost
                     return
     except EngineRefusedError as error:
-        attempt.outcome.end = AttemptEnd.REFUSED
-        attempt.outcome.leaving = error.body.leaving
-        attempt.outcome.rest_seconds = error.rest_seconds
+        attempt.outcome.result = AttemptResult.REFUSED
+        attempt.outcome.draining = error.body.leaving
+        attempt.outcome.backoff_seconds = error.backoff_seconds
     except EngineLostError as error:
         if not isinstance(error, EngineUnreachableError):
             attempt.reached |= attempt.outcome.blamed
         extra = {"upstream": sorted(attempt.outcome.blamed), "reason": str(error)}
-        logger.info("head lost", extra=extra)
+        logger.info("connection to the head of the route lost", extra=extra)
 
 
 async def _watch_progress(
@@ -226,30 +229,30 @@
     attempt: Attempt,
     tasks: TaskGroup,
 ) -> None:
-    """End the attempt if it makes no progress and some of its stages do not answer.
+    """Cancel the attempt if it stalls and some of its stages do not answer a probe.
 
-    One timer a gap and not one a token: the watch looks again when the allowed gap would be over.
-    A caller that does not read is no stall.
+    A caller that does not read does not count as a stall. The timer is not reset for each token:
+    after a timeout, the time of the latest progress decides whether to wait again.
     """
     while True:
         pace = progress.pace if session.tokens else context.first_pace
-        patience = context.settings.entry.stall_seconds or stall_after(pace)
-        waited = now() - attempt.moved_at
-        if attempt.blocked or waited < patience:
-            await anyio.sleep(patience if attempt.blocked else patience - waited)
+        timeout = context.settings.entry.stall_seconds or stall_after(pace)
+        inactive_seconds = now() - attempt.last_progress_at
+        if attempt.blocked or inactive_seconds < timeout:
+            await anyio.sleep(timeout if attempt.blocked else timeout - inactive_seconds)
             continue
-        dead = await _find_dead_stages(context, session)
-        if dead:
+        unreachable = await _find_unreachable_stages(context, session)
+        if unreachable:
             context.metrics.events["stall-confirmed"] += 1
-            attempt.outcome = AttemptOutcome(end=AttemptEnd.LOST, blamed=dead)
+            attempt.outcome = AttemptOutcome(result=AttemptResult.LOST, blamed=unreachable)
             tasks.cancel_scope.cancel()
             return
         context.metrics.events["stall-false-alarm"] += 1
         note_false_alarm(pace)
-        attempt.moved_at = now()
+        attempt.last_progress_at = now()
 
 
-def _take_in(
+def _handle_frames(
     context: EntryContext, session: Session, progress: Progress, frames: list[EngineFrame]
 ) -> tuple[list[str], AttemptOutcome | None]:
     texts: list[str] = []
@@ -259,16 +262,16 @@
                 texts.append(frame.text)
             continue
         if (frame.session, frame.attempt) == (session.session_id, session.attempt):
-            end = AttemptEnd.REFUSED if frame.refused else AttemptEnd.LOST
+            result = AttemptResult.REFUSED if frame.refused else AttemptResult.LOST
             blamed = frozenset({frame.upstream})
-            lost = AttemptOutcome(end=end, blamed=blamed, leaving=frame.leaving)
-            _note_tokens(context, session, progress, texts)
+            lost = AttemptOutcome(result=result, blamed=blamed, draining=frame.leaving)
+            _record_tokens(context, session, progress, texts)
             return texts, lost
-    _note_tokens(context, session, progress, texts)
+    _record_tokens(context, session, progress, texts)
     return texts, None
 
 
-def _note_tokens(
+def _record_tokens(
     context: EntryContext, session: Session, progress: Progress, texts: list[str]
 ) -> None:
     if not texts:
@@ -289,16 +292,16 @@
     progress.last_token_at = at
 
 
-async def _find_dead_stages(context: EntryContext, session: Session) -> frozenset[str]:
-    """Probe all stages of the route side by side and return those that do not answer."""
+async def _find_unreachable_stages(context: EntryContext, session: Session) -> frozenset[str]:
+    """Probe all stages of the route concurrently and return those that do not answer."""
     assert session.route is not None
-    dead: set[str] = set()
+    unreachable: set[str] = set()
 
     async def probe(upstream: str, address: str) -> None:
-        if not await answers(context, address):
-            dead.add(upstream)
+        if not await responds_to_probe(context, address):
+            unreachable.add(upstream)
 
     async with anyio.create_task_group() as tasks:
         for stage in session.route.stages:
             tasks.start_soon(probe, stage.upstream, stage.address)
-    return frozenset(dead)
+    return frozenset(unreachable)
--- a/src/ledgeladder/daemons/entry/caller_api.py
+++ b/src/ledgeladder/daemons/entry/caller_api.py
@@ -18,15 +18,15 @@
 from .answers import (
     AnswerWriter,
     answer_generation,
-    note_code,
-    note_problem,
-    until_caller_leaves,
+    cancel_on_disconnect,
+    record_code,
+    record_problem,
 )
 from .caller_models import AnswerLabel, ChatBody, CompletionBody, chat_prompt
-from .checks import admitted, check_open, find_account, make_permit, read_body, refuse
-from .crashes import refuse_if_held
+from .checks import admitted, check_configured, find_account, make_permit, read_body, refusal
+from .crashes import refuse_quarantined
 from .metrics import metrics_page
-from .service_calls import answer_service
+from .service_calls import run_service_call
 
 if TYPE_CHECKING:
     from starlette.requests import Request
@@ -61,7 +61,7 @@
 
     async def pipelines(request: Request) -> Response:
         try:
-            check_open(context)
+            check_configured(context)
             account = find_account(context, request)
         except ProblemError as error:
             return problem_response(error.problem)
@@ -114,7 +114,7 @@
     except ValidationError as error:
         first = error.errors()[0]
         where = ".".join(str(part) for part in first["loc"]) or "body"
-        raise refuse(ResultCode.MALFORMED_REQUEST, f"{where}: {first['msg']}") from error
+        raise refusal(ResultCode.MALFORMED_REQUEST, f"{where}: {first['msg']}") from error
 
 
 class _GenerationResponse(Response):
@@ -131,7 +131,7 @@
         request_id = f"req-{secrets.token_hex(10)}"
         context.in_progress += 1
         try:
-            check_open(context)
+            check_configured(context)
             account = find_account(context, self.request)
             content = await read_body(context, self.request)
             body: ChatBody | CompletionBody
@@ -141,11 +141,13 @@
             else:
                 body = parse_body(CompletionBody, content)
                 prompt = body.prompt
-            mark = compute_fingerprint(account.name, b"POST", scope["path"].encode(), content)
-            permit = make_permit(context, account, body.model, body.max_tokens, mark)
-            refuse_if_held(context, permit.content)
+            fingerprint = compute_fingerprint(
+                account.name, b"POST", scope["path"].encode(), content
+            )
+            permit = make_permit(context, account, body.model, body.max_tokens, fingerprint)
+            refuse_quarantined(context, permit.fingerprint)
             if not permit.pipeline.model:
-                raise refuse(ResultCode.UNKNOWN_PIPELINE, f"{body.model} leads to services")
+                raise refusal(ResultCode.UNKNOWN_PIPELINE, f"{body.model} leads to services")
             writer = AnswerWriter(
                 context=context,
                 send=send,
@@ -159,7 +161,7 @@
             )
             await answer_generation(writer, permit, prompt, body.max_tokens, scope, receive)
         except ProblemError as error:
-            note_problem(context, error.problem, request_id)
+            record_problem(context, error.problem, request_id)
             await problem_response(error.problem)(scope, receive, send)
         finally:
             context.in_progress -= 1
@@ -182,15 +184,15 @@
             try:
                 response = await self.run(content)
             except ProblemError as error:
-                note_problem(context, error.problem, request_id)
+                record_problem(context, error.problem, request_id)
                 response = problem_response(error.problem)
             await response(scope, receive, send)
 
         try:
             content = await read_body(context, self.request)
-            await until_caller_leaves(work, receive)
+            await cancel_on_disconnect(work, receive)
         except ProblemError as error:
-            note_problem(context, error.problem, request_id)
+            record_problem(context, error.problem, request_id)
             await problem_response(error.problem)(scope, receive, send)
         finally:
             context.in_progress -= 1
@@ -198,14 +200,14 @@
     async def run(self, content: bytes) -> Response:
         """Check and run the call."""
         context, request = self.context, self.request
-        check_open(context)
+        check_configured(context)
         account = find_account(context, request)
         target = f"{request.url.path}?{request.url.query}".encode()
-        mark = compute_fingerprint(account.name, request.method.encode(), target, content)
-        permit = make_permit(context, account, request.path_params["pipeline"], 0, mark)
+        fingerprint = compute_fingerprint(account.name, request.method.encode(), target, content)
+        permit = make_permit(context, account, request.path_params["pipeline"], 0, fingerprint)
         if not permit.pipeline.services:
             detail = f"{permit.pipeline.name} leads to no service"
-            raise refuse(ResultCode.UNKNOWN_PIPELINE, detail)
+            raise refusal(ResultCode.UNKNOWN_PIPELINE, detail)
         path = request.path_params["path"]
         call = ServiceCall(
             method=request.method,
@@ -216,8 +218,8 @@
         )
         repeatable = request.headers.get(REPEATABLE_HEADER, "yes").lower() != "no"
         async with admitted(context, permit):
-            answer = await answer_service(context, permit, call, repeatable=repeatable)
-        note_code(context, ResultCode.OK)
+            answer = await run_service_call(context, permit, call, repeatable=repeatable)
+        record_code(context, ResultCode.OK)
         return _service_response(context, answer)
 
 
--- a/src/ledgeladder/daemons/entry/checks.py
+++ b/src/ledgeladder/daemons/entry/checks.py
@@ -1,4 +1,4 @@
-"""Checks that a request passes before any upstream hears of it."""
+"""Checks requests before they are sent to an upstream."""
 
 from __future__ import annotations
 
@@ -25,49 +25,49 @@
     from .context import EntryContext
 
 
-BODY_SECONDS: Final = 15.0
-"""How long the body of a request may take to arrive."""
+BODY_TIMEOUT_SECONDS: Final = 15.0
+"""Timeout for receiving the body of a request."""
 
 
 class Permit(msgspec.Struct, frozen=True, kw_only=True):
-    """What a request may do."""
+    """Permission to run a request, with its limits."""
 
     account: ClientAccount
     """Client account."""
 
     pipeline: Pipeline
-    """Pipeline."""
+    """Pipeline that runs the request."""
 
     decision: Decision
-    """What the policy of the pipeline decided."""
+    """Decision of the pipeline's policy."""
 
     rank: int
     """Rank of its priority."""
 
     arrived_at: float
-    """When it arrived, on the monotonic clock."""
+    """Time of arrival, on the monotonic clock."""
 
-    content: bytes = b""
-    """Mark of its content."""
+    fingerprint: bytes = b""
+    """Fingerprint of the request content."""
 
     @property
     def deadline(self) -> float:
-        """When it must be answered, on the monotonic clock."""
+        """Deadline of the answer, on the monotonic clock."""
         return self.arrived_at + self.pipeline.deadline_seconds
 
     @property
     def allowed(self) -> Callable[[UpstreamView], bool]:
-        """Which upstreams the policy allows."""
-        return allowed_by(self.decision)
+        """Returns whether the policy allows an upstream."""
+        return allowed_upstreams(self.decision)
 
 
-def refuse(code: ResultCode, detail: str, retry_after: float | None = None) -> ProblemError:
+def refusal(code: ResultCode, detail: str, retry_after: float | None = None) -> ProblemError:
     """Build the error that refuses a request."""
     return ProblemError(Problem(code=code, detail=detail, retry_after=retry_after))
 
 
-def allowed_by(decision: Decision) -> Callable[[UpstreamView], bool]:
-    """Return which upstreams a decision allows."""
+def allowed_upstreams(decision: Decision) -> Callable[[UpstreamView], bool]:
+    """Return a predicate for the upstreams that a decision allows."""
     names = None if decision.upstreams is None else frozenset(decision.upstreams)
     domains = None if decision.failure_domains is None else frozenset(decision.failure_domains)
 
@@ -79,14 +79,14 @@
     return allowed
 
 
-def check_open(context: EntryContext) -> None:
-    """Refuse while the box has no configuration.
+def check_configured(context: EntryContext) -> None:
+    """Refuse requests while the box has no configuration in force.
 
     Raises:
         ProblemError: With code STARTING.
     """
     if not context.synced.is_set():
-        raise refuse(ResultCode.STARTING, "the box has no configuration in force yet", 1.0)
+        raise refusal(ResultCode.STARTING, "the box has no configuration in force yet", 1.0)
 
 
 def find_account(context: EntryContext, request: Request) -> ClientAccount:
@@ -97,30 +97,30 @@
     """
     scheme, _, key = request.headers.get("authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not key:
-        raise refuse(ResultCode.KEY_MISSING, "send the key as Authorization: Bearer KEY")
+        raise refusal(ResultCode.KEY_MISSING, "send the key as Authorization: Bearer KEY")
     account = context.accounts_by_key.get(hashlib.sha256(key.encode()).hexdigest())
     if account is None:
-        raise refuse(ResultCode.KEY_UNKNOWN, "the key belongs to no client account")
+        raise refusal(ResultCode.KEY_UNKNOWN, "the key belongs to no client account")
     return account
 
 
 async def read_body(context: EntryContext, request: Request) -> bytes:
-    """Read a request body up to the bound, for a bounded time.
+    """Read a request body, limited in size and time.
 
     Raises:
-        ProblemError: With code BODY_TOO_LARGE, or MALFORMED_REQUEST if it does not arrive whole.
+        ProblemError: With code BODY_TOO_LARGE, or MALFORMED_REQUEST if it is incomplete.
     """
     limit = context.settings.entry.body_limit_bytes
     body = bytearray()
     try:
-        with anyio.fail_after(BODY_SECONDS):
+        with anyio.fail_after(BODY_TIMEOUT_SECONDS):
             async for chunk in request.stream():
                 body += chunk
                 if len(body) > limit:
-                    raise refuse(ResultCode.BODY_TOO_LARGE, f"the body exceeds {limit} bytes")
+                    raise refusal(ResultCode.BODY_TOO_LARGE, f"the body exceeds {limit} bytes")
     except (TimeoutError, ClientDisconnect) as error:
-        detail = f"the body did not arrive within {BODY_SECONDS:g} s"
-        raise refuse(ResultCode.MALFORMED_REQUEST, detail) from error
+        detail = f"the body did not arrive within {BODY_TIMEOUT_SECONDS:g} s"
+        raise refusal(ResultCode.MALFORMED_REQUEST, detail) from error
     return bytes(body)
 
 
@@ -129,16 +129,16 @@
     account: ClientAccount,
     pipeline_name: str,
     max_tokens: int,
-    content: bytes,
+    fingerprint: bytes,
 ) -> Permit:
-    """Check pipeline and policy.
+    """Check a request against its pipeline and policy.
 
     Args:
         context: The entry's state.
         account: Client account.
-        pipeline_name: Pipeline that the caller named.
-        max_tokens: Most tokens asked for; 0 for a plain service.
-        content: Mark of the request's content.
+        pipeline_name: Name of the pipeline that the caller requested.
+        max_tokens: Maximum number of tokens requested; 0 for a plain service.
+        fingerprint: Fingerprint of the request content.
 
     Returns:
         The permit.
@@ -149,15 +149,15 @@
     configuration = context.configuration
     pipeline = configuration.pipelines.get(pipeline_name)
     if pipeline is None:
-        raise refuse(ResultCode.UNKNOWN_PIPELINE, f"there is no pipeline {pipeline_name[:63]}")
+        raise refusal(ResultCode.UNKNOWN_PIPELINE, f"there is no pipeline {pipeline_name[:63]}")
     if account.pipelines and pipeline.name not in account.pipelines:
-        raise refuse(ResultCode.PIPELINE_FORBIDDEN, f"{account.name} may not use {pipeline.name}")
+        raise refusal(ResultCode.PIPELINE_FORBIDDEN, f"{account.name} may not use {pipeline.name}")
     if max_tokens > pipeline.max_tokens:
         detail = f"max_tokens {max_tokens} exceeds {pipeline.max_tokens}"
-        raise refuse(ResultCode.MALFORMED_REQUEST, detail)
-    decision = _decide(context, account, pipeline, max_tokens)
+        raise refusal(ResultCode.MALFORMED_REQUEST, detail)
+    decision = _evaluate_policy(context, account, pipeline, max_tokens)
     if not decision.allow:
-        raise refuse(ResultCode.POLICY_DENIED, decision.reason or "denied by the policy")
+        raise refusal(ResultCode.POLICY_DENIED, decision.reason or "denied by the policy")
     priority = configuration.priorities.get(decision.priority or account.priority or "")
     return Permit(
         account=account,
@@ -165,14 +165,14 @@
         decision=decision,
         rank=priority.rank if priority else DEFAULT_RANK,
         arrived_at=now(),
-        content=content,
+        fingerprint=fingerprint,
     )
 
 
-def _decide(
+def _evaluate_policy(
     context: EntryContext, account: ClientAccount, pipeline: Pipeline, max_tokens: int
 ) -> Decision:
-    """Ask the pipeline's policy; one that fails on a request leaves the defaults in force."""
+    """Evaluate the pipeline's policy; return the default decision if it fails."""
     policy = context.policies.get(pipeline.policy or "")
     if policy is None:
         return Decision()
@@ -192,14 +192,14 @@
 
 @asynccontextmanager
 async def admitted(context: EntryContext, permit: Permit) -> AsyncIterator[None]:
-    """Hold a place among the requests in progress.
+    """Hold a slot among the requests in progress; wait in the queue if there is none.
 
     Args:
         context: The entry's state.
         permit: The request's permit.
 
     Raises:
-        ProblemError: If the request is refused, at once or when its deadline comes too close.
+        ProblemError: If the request is refused, immediately or once its deadline is too close.
     """
     ticket = Ticket(account=permit.account.name, rank=permit.rank, deadline=permit.deadline)
     problem = arrive(context.admission, permit.account, ticket, now())
@@ -219,12 +219,12 @@
 
 async def _wait_for_turn(context: EntryContext, ticket: Ticket) -> None:
     event = context.tickets[ticket] = anyio.Event()
-    patience = ticket.deadline - now() - context.admission.mean_seconds
+    timeout = ticket.deadline - now() - context.admission.mean_seconds
     try:
-        with anyio.move_on_after(max(0.0, patience)):
+        with anyio.move_on_after(max(0.0, timeout)):
             await event.wait()
     finally:
         del context.tickets[ticket]
     if not ticket.admitted:
         wait = expected_wait(context.admission, ticket.rank)
-        raise refuse(ResultCode.DEADLINE_UNREACHABLE, "the queue moved too slowly", wait)
+        raise refusal(ResultCode.DEADLINE_UNREACHABLE, "the queue moved too slowly", wait)
--- a/src/ledgeladder/daemons/entry/context.py
+++ b/src/ledgeladder/daemons/entry/context.py
@@ -1,4 +1,4 @@
-"""What all parts of an entry process share."""
+"""Shared state of an entry process."""
 
 from __future__ import annotations
 
@@ -43,10 +43,10 @@
     """State of one entry process."""
 
     settings: EntrySettings
-    """Its settings."""
+    """Settings of the process."""
 
     commands: CommandClient
-    """Way to the leader of the replicated log."""
+    """Client for commands to the leader of the replicated log."""
 
     client: httpx.AsyncClient
     """HTTP client for upstreams."""
@@ -55,77 +55,77 @@
     """Tasks that outlive the request that started them."""
 
     admission: Admission
-    """Limits and queue."""
+    """Admission limits and queue."""
 
     pick: EngineSelector
-    """Choice among engines."""
+    """Chooses among candidate engines."""
 
     rng: random.Random
-    """Source of jitter and choices."""
+    """Random numbers for jitter and choices."""
 
     instance: str = msgspec.field(default_factory=lambda: secrets.token_hex(8))
-    """Random name of this run of the process."""
+    """Random id of this process instance."""
 
     configuration: Configuration = msgspec.field(default_factory=Configuration)
-    """The configuration in force."""
+    """Configuration in force."""
 
     digest: bytes = b""
     """Digest of the configuration in force."""
 
     policies: dict[str, CompiledPolicy] = msgspec.field(default_factory=dict)
-    """Compiled policies."""
+    """Compiled policies by name."""
 
     accounts_by_key: dict[str, ClientAccount] = msgspec.field(default_factory=dict)
-    """Client accounts by the SHA-256 of their key."""
+    """Client accounts by the SHA-256 hash of their key."""
 
     upstreams: UpstreamTable = msgspec.field(default_factory=UpstreamTable)
-    """What is known of each upstream."""
+    """Known state of each upstream."""
 
     first_pace: Pace = msgspec.field(default_factory=Pace)
-    """Times to the first token, over all requests."""
+    """Pace of first tokens, over all requests."""
 
     probe_pace: Pace = msgspec.field(default_factory=Pace)
-    """Times of answered probes."""
+    """Pace of answered probes."""
 
-    contents: EntryQuarantine = msgspec.field(default_factory=EntryQuarantine)
-    """Contents under which upstreams end."""
+    quarantine: EntryQuarantine = msgspec.field(default_factory=EntryQuarantine)
+    """Request contents that crash upstreams."""
 
-    tell_controls: Callable[[LinkMessage], None] = lambda _message: None
-    """Tells the control boxes that are linked."""
+    send_to_controls: Callable[[LinkMessage], None] = lambda _message: None
+    """Sends a message to all connected control boxes."""
 
     limit_keeper: RateLimiter | None = None
-    """Keeps to the requests a second that upstreams name; None until the links are built."""
+    """Observes rate limits that upstreams advertise; None until the links are built."""
 
     budget: RetryBudget = msgspec.field(default_factory=RetryBudget)
-    """Retries that may be made."""
+    """Budget of retries."""
 
     metrics: EntryMetrics = msgspec.field(default_factory=EntryMetrics)
     """Counters and histograms."""
 
     tickets: dict[Ticket, anyio.Event] = msgspec.field(default_factory=dict)
-    """Waiting requests and what wakes them."""
+    """Queued requests and the events that wake them."""
 
     synced: anyio.Event = msgspec.field(default_factory=anyio.Event)
-    """Set once the newest configuration known to this side is in force."""
+    """Set once the newest configuration known to the reachable boxes is in force."""
 
     stopping: bool = False
     """True once a planned stop has begun."""
 
     gate: Gate = msgspec.field(default_factory=Gate)
-    """Fences of orders that passed here."""
+    """Fences of orders that were forwarded to engines."""
 
     in_progress: int = 0
-    """Requests of callers that have not been answered in full."""
+    """Number of requests that were not completely answered yet."""
 
 
 def limit_keeper_of(context: EntryContext) -> RateLimiter:
-    """Return what keeps to the requests a second that upstreams name."""
+    """Return the rate limiter; the links must be built."""
     assert context.limit_keeper is not None
     return context.limit_keeper
 
 
-def put_in_force(context: EntryContext, configuration: Configuration) -> bool:
-    """Put a configuration into force if it is newer than the one that is.
+def apply_configuration(context: EntryContext, configuration: Configuration) -> bool:
+    """Apply a configuration if it is newer than the one in force.
 
     Args:
         context: The entry's state.
@@ -150,21 +150,21 @@
     return True
 
 
-def in_background(
+def run_in_background(
     context: EntryContext, work: Callable[..., Awaitable[None]], *arguments: Any
 ) -> None:
-    """Run work that outlives the request; its failure is logged and ends nothing else.
+    """Run a task that outlives the request; log its failure.
 
     Args:
         context: The entry's state.
-        work: What to run.
-        arguments: What to pass to it.
+        work: Function to run.
+        arguments: Arguments of the function.
     """
 
     async def run() -> None:
         try:
             await work(*arguments)
         except Exception:
-            logger.exception("background work failed")
+            logger.exception("background task failed")
 
     context.background.start_soon(run)
--- a/src/ledgeladder/daemons/entry/crashes.py
+++ b/src/ledgeladder/daemons/entry/crashes.py
@@ -1,4 +1,4 @@
-"""Requests of this box under which upstreams end: what is told, and what is refused."""
+"""Reports requests of this box that crash upstreams, and refuses quarantined ones."""
 
 from __future__ import annotations
 
@@ -19,72 +19,74 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_SECONDS: Final = 0.25
-"""How long an upstream may take to accept or refuse a connection: a hundred round trips inside a
-region. One that says nothing has not ended for certain."""
+CHECK_TIMEOUT_SECONDS: Final = 0.25
+"""Timeout for an upstream to accept or refuse a connection; far above the round-trip time within a
+region. An upstream that does neither has not certainly exited."""
 
 
-def refuse_if_held(context: EntryContext, content: bytes) -> None:
-    """Refuse a request whose content is sent nowhere.
+def refuse_quarantined(context: EntryContext, fingerprint: bytes) -> None:
+    """Refuse a request whose content is quarantined.
 
     Raises:
-        ProblemError: If it is refused; it has not run.
+        ProblemError: If it is refused. No upstream has run it.
     """
-    left = content_watch.quarantine_seconds_left(context.contents, content, now())
-    if left > 0.0:
-        detail = f"content {content.hex()}"
-        problem = Problem(code=ResultCode.QUARANTINED, detail=detail, retry_after=left)
+    seconds_left = content_watch.quarantine_seconds_left(context.quarantine, fingerprint, now())
+    if seconds_left > 0.0:
+        detail = f"content {fingerprint.hex()}"
+        problem = Problem(code=ResultCode.QUARANTINED, detail=detail, retry_after=seconds_left)
         raise ProblemError(problem)
 
 
-def may_be_sent(context: EntryContext, content: bytes) -> bool:
-    """Tell whether a request may be sent to another upstream, after some of its were lost."""
-    return content_watch.count_crashes_under(context.contents, content, now()) < CRASH_LIMIT
+def may_retry(context: EntryContext, fingerprint: bytes) -> bool:
+    """Return whether a request may be sent to another upstream after some were lost."""
+    return content_watch.count_crashes_under(context.quarantine, fingerprint, now()) < CRASH_LIMIT
 
 
-async def note_lost_run(context: EntryContext, content: bytes, upstream: str, address: str) -> None:
-    """Note that a run broke off at an upstream, if the upstream's process has ended.
+async def record_crash(
+    context: EntryContext, fingerprint: bytes, upstream: str, address: str
+) -> None:
+    """Record and report a crash if the upstream of a failed attempt has exited.
 
     Args:
         context: The entry's state.
-        content: Mark of the request's content.
-        upstream: Name of the upstream, which it keeps over restarts. Each end under a request is
-            told under a name of its own, since one that comes back may end again.
+        fingerprint: Fingerprint of the request content.
+        upstream: Name of the upstream. It stays the same over restarts, so each crash is reported
+            under a unique instance name.
         address: `host:port` of the upstream.
     """
     source = context.settings.box.source_address
-    if not await nobody_listens(address, source, seconds=LOOK_SECONDS):
+    if not await nobody_listens(address, source, seconds=CHECK_TIMEOUT_SECONDS):
         return
     instance = f"{upstream}#{secrets.token_hex(4)}"
-    ends = content_watch.record_own_crash(context.contents, content, instance, now())
-    context.tell_controls(CrashReport(content=content, instance=instance))
+    crashes = content_watch.record_own_crash(context.quarantine, fingerprint, instance, now())
+    context.send_to_controls(CrashReport(content=fingerprint, instance=instance))
     context.metrics.events["ended-under-request"] += 1
     logger.warning(
-        "upstream ended under a request",
-        extra={"content": content.hex(), "upstream": instance, "ends": ends},
+        "upstream exited while running a request",
+        extra={"content": fingerprint.hex(), "upstream": instance, "ends": crashes},
     )
 
 
-def note_answered(context: EntryContext, content: bytes) -> None:
-    """Note that a request was answered in full."""
-    if content_watch.record_answered(context.contents, content):
-        context.tell_controls(ContentServed(content=content))
+def record_answered(context: EntryContext, fingerprint: bytes) -> None:
+    """Clear the suspicion on a request content after a complete answer, and report it."""
+    if content_watch.record_answered(context.quarantine, fingerprint):
+        context.send_to_controls(ContentServed(content=fingerprint))
 
 
-def take_content_news(context: EntryContext, news: LinkMessage) -> bool:
-    """Take in what a control box told of contents.
+def handle_quarantine_message(context: EntryContext, message: LinkMessage) -> bool:
+    """Apply an update on suspected or quarantined contents from a control box.
 
     Returns:
-        False if the message is about something else.
+        False if the message is of another kind.
     """
-    match news:
+    match message:
         case SuspectNews():
-            content_watch.apply_suspect(context.contents, news.content, news.ends, now())
+            content_watch.apply_suspect(context.quarantine, message.content, message.ends, now())
         case QuarantineNews():
-            added = content_watch.apply_quarantine(context.contents, news.seconds_left, now())
+            added = content_watch.apply_quarantine(context.quarantine, message.seconds_left, now())
             if added:
-                extra = {"contents": [content.hex() for content in added]}
-                logger.warning("content held", extra=extra)
+                extra = {"contents": [fingerprint.hex() for fingerprint in added]}
+                logger.warning("request content quarantined", extra=extra)
         case _:
             return False
     return True
--- a/src/ledgeladder/daemons/entry/follower.py
+++ b/src/ledgeladder/daemons/entry/follower.py
@@ -22,8 +22,8 @@
     VersionHead,
 )
 from ..limit_keeper import handle_limit_message
-from .context import in_background, limit_keeper_of, put_in_force
-from .crashes import take_content_news
+from .context import apply_configuration, limit_keeper_of, run_in_background
+from .crashes import handle_quarantine_message
 from .gate import pass_order
 
 if TYPE_CHECKING:
@@ -82,9 +82,9 @@
             while True:
                 message = await link.receive()
                 if isinstance(message, FencedOrder) and control:
-                    in_background(context, pass_order, context, context.gate, link, message)
+                    run_in_background(context, pass_order, context, context.gate, link, message)
                     continue
-                if control and take_content_news(context, message):
+                if control and handle_quarantine_message(context, message):
                     continue
                 if control and handle_limit_message(limit_keeper_of(context), message):
                     continue
@@ -97,7 +97,7 @@
     await keep_link(address, identity, serve, rng=random.Random())
 
 
-def tell_controls(follower: Follower, message: LinkMessage) -> None:
+def send_to_controls(follower: Follower, message: LinkMessage) -> None:
     """Tell all control boxes that are linked."""
     post_to_all(control_links(follower), message)
 
@@ -131,7 +131,7 @@
         case DeltaPush():
             _take_deltas(context, link, message)
         case FullPush():
-            put_in_force(context, message.configuration)
+            apply_configuration(context, message.configuration)
         case VersionHead():
             _compare(context, link, message)
         case _:
@@ -149,9 +149,9 @@
         if following is None:
             link.post(Pull(version=context.configuration.version))
             return
-        put_in_force(context, following)
+        apply_configuration(context, following)
     if not context.digest:
-        put_in_force(context, context.configuration)
+        apply_configuration(context, context.configuration)
 
 
 def _compare(context: EntryContext, link: Link, head: VersionHead) -> None:
--- a/src/ledgeladder/daemons/entry/generation.py
+++ b/src/ledgeladder/daemons/entry/generation.py
@@ -1,4 +1,4 @@
-"""Running one generation request to its end, over as many attempts as it takes."""
+"""Runs a generation request to completion, with a new attempt after each lost stage."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 )
 from ...upstreams.engine import CancelRequest, cancel_on_engine
 from ..clock import now
-from .attempt import AttemptEnd, AttemptOutcome, Emit, Generation, Progress, run_attempt
-from .context import in_background, limit_keeper_of
-from .crashes import may_be_sent, note_answered, note_lost_run
+from .attempt import AttemptOutcome, AttemptResult, Emit, Generation, Progress, run_attempt
+from .context import limit_keeper_of, run_in_background
+from .crashes import may_retry, record_answered, record_crash
 from .watching import probe_failure_domain
 
 if TYPE_CHECKING:
@@ -31,29 +31,29 @@
 
 logger = logging.getLogger(__name__)
 
-RECOVERY_LIMIT: Final = 8
-"""Most times that stages of one request are replaced."""
+MAX_RECOVERIES: Final = 8
+"""Maximum number of recoveries of one request."""
 
-ROUTE_PATIENCE_SECONDS: Final = 3.0
-"""How long a request that lost a stage waits for a route before it is given up."""
+ROUTE_TIMEOUT_SECONDS: Final = 3.0
+"""Timeout for a new route after a stage was lost."""
 
 RECOVERY_PAUSE_SECONDS: Final = 0.05
-"""Mean pause before another try when no stage can be replaced yet."""
+"""Mean interval at which a new route is tried."""
 
 
 async def generate(context: EntryContext, request: Generation, emit: Emit) -> Session:
-    """Run a request to its end.
+    """Run a request to completion.
 
     Args:
         context: The entry's state.
         request: The request.
-        emit: Passes texts on to the caller.
+        emit: Forwards texts to the caller.
 
     Returns:
-        The session, with the whole answer.
+        The session, with the complete answer.
 
     Raises:
-        ProblemError: If the request was given up on.
+        ProblemError: If the request failed.
     """
     session = Session(
         session_id=secrets.token_hex(12),
@@ -66,9 +66,11 @@
         with anyio.fail_after(max(0.0, request.deadline - now())):
             await _run_attempts(context, request, session, progress, emit)
     except TimeoutError as error:
-        raise _given_up(session, ResultCode.DEADLINE_EXCEEDED, "the deadline passed") from error
+        raise _request_failed(
+            session, ResultCode.DEADLINE_EXCEEDED, "the deadline passed"
+        ) from error
     finally:
-        _cancel_leftovers(context, session, keep=frozenset())
+        _cancel_unused_stages(context, session, keep=frozenset())
         for verdict, count in session.dropped.items():
             context.metrics.events[f"dropped-{verdict.value}"] += count
     return session
@@ -77,73 +79,73 @@
 async def _run_attempts(
     context: EntryContext, request: Generation, session: Session, progress: Progress, emit: Emit
 ) -> None:
-    route = _first_route(context, request)
+    route = _choose_first_route(context, request)
     recoveries = 0
     may_have_run = False
     while True:
         attempt = begin_attempt(session, route)
         outcome = await run_attempt(context, request, session, progress, emit)
-        if outcome.end is AttemptEnd.COMPLETE:
-            note_answered(context, request.content)
+        if outcome.result is AttemptResult.COMPLETE:
+            record_answered(context, request.fingerprint)
             return
         recoveries += 1
-        await _note_ends(context, request, session, outcome)
-        if not may_be_sent(context, request.content):
-            raise _given_up(session, ResultCode.UPSTREAM_LOST, "its upstreams ended")
-        _blame(context, outcome)
-        if recoveries > RECOVERY_LIMIT:
-            raise _given_up(session, ResultCode.UPSTREAM_LOST, "too many stages were lost")
-        may_have_run = may_have_run or outcome.end is not AttemptEnd.REFUSED
+        await _record_crashes(context, request, session, outcome)
+        if not may_retry(context, request.fingerprint):
+            raise _request_failed(session, ResultCode.UPSTREAM_LOST, "its upstreams ended")
+        _record_failures(context, outcome)
+        if recoveries > MAX_RECOVERIES:
+            raise _request_failed(session, ResultCode.UPSTREAM_LOST, "too many stages were lost")
+        may_have_run = may_have_run or outcome.result is not AttemptResult.REFUSED
         if not may_have_run:
-            _refuse_if_unwanted(context, request)
+            _refuse_if_backing_off(context, request)
         if not session.tokens and not take_retry(context.budget):
-            raise _spent(session, outcome)
+            raise _no_retry_left(session, outcome)
         progress.recovering = True
-        context.metrics.events[f"attempt-{outcome.end.value}"] += 1
+        context.metrics.events[f"attempt-{outcome.result.value}"] += 1
         logger.info(
             "stages replaced",
             extra={
                 "request_id": session.session_id,
                 "attempt": attempt,
                 "blamed": sorted(outcome.blamed),
-                "end": outcome.end.value,
+                "end": outcome.result.value,
             },
         )
-        route = await _next_route(context, request, session, outcome)
-        _cancel_leftovers(context, session, keep=route.upstreams)
+        route = await _choose_next_route(context, request, session, outcome)
+        _cancel_unused_stages(context, session, keep=route.upstreams)
 
 
-async def _note_ends(
+async def _record_crashes(
     context: EntryContext, request: Generation, session: Session, outcome: AttemptOutcome
 ) -> None:
-    """Note which of the stages that were lost have ended under a request."""
-    if outcome.end is not AttemptEnd.LOST or session.route is None:
+    """Record a crash for each lost stage whose process exited while running the request."""
+    if outcome.result is not AttemptResult.LOST or session.route is None:
         return
     async with anyio.create_task_group() as tasks:
         for stage in session.route.stages:
             if stage.upstream in outcome.blamed & outcome.reached:
                 tasks.start_soon(
-                    note_lost_run, context, request.content, stage.upstream, stage.address
+                    record_crash, context, request.fingerprint, stage.upstream, stage.address
                 )
 
 
-def _first_route(context: EntryContext, request: Generation) -> Route:
+def _choose_first_route(context: EntryContext, request: Generation) -> Route:
     """Choose the first route.
 
     Raises:
-        ProblemError: If there is none; nothing has run.
+        ProblemError: If there is none. Nothing has run.
     """
-    _want_grants(context, request)
+    _request_grants(context, request)
     engines = eligible_engines(context.upstreams, request.pipeline, now(), allowed=request.allowed)
     chosen = choose_route(engines, request.pipeline.layers, context.pick)
     if isinstance(chosen, Failure):
-        _refuse_if_unwanted(context, request)
+        _refuse_if_backing_off(context, request)
         raise ProblemError(chosen.failure())
     return chosen.unwrap()
 
 
-def _want_grants(context: EntryContext, request: Generation) -> None:
-    """Ask for what limited engines of the pipeline lack."""
+def _request_grants(context: EntryContext, request: Generation) -> None:
+    """Request missing rate grants for the engines of the pipeline."""
     limits = [
         view.limit
         for view in context.upstreams.views.values()
@@ -153,15 +155,15 @@
         limit_keeper_of(context).wake.set()
 
 
-def _refuse_if_unwanted(context: EntryContext, request: Generation) -> None:
-    """Refuse a request that did not run if only rest or limits of engines keep it from a route.
+def _refuse_if_backing_off(context: EntryContext, request: Generation) -> None:
+    """Refuse a request that did not run if only back-offs or rate limits leave it without a route.
 
-    Other gaps are waited for, since a lost stage is replaced within moments.
+    Other missing layers are waited for, because lost stages are replaced quickly.
 
     Raises:
         ProblemError: If so, with the time until there is a route.
     """
-    seconds = _wait_before_route(context, request)
+    seconds = _seconds_to_route(context, request)
     if seconds is None:
         return
     is_limited = any_limited([view.limit for view in context.upstreams.views.values()], now())
@@ -170,11 +172,11 @@
     raise ProblemError(Problem(code=code, detail=detail, retry_after=seconds))
 
 
-def _wait_before_route(context: EntryContext, request: Generation) -> float | None:
-    """Return when there is a route since engines want work again, in seconds.
+def _seconds_to_route(context: EntryContext, request: Generation) -> float | None:
+    """Return the time until enough back-offs and rate limits end for a route, in seconds.
 
     Returns:
-        None if there is one now, or if rest and limits are not what it lacks.
+        None if there is a route now, or if there is none even after all of them end.
     """
     at = now()
     for wait in sorted({0.0} | {view_wait(view, at) for view in context.upstreams.views.values()}):
@@ -186,17 +188,17 @@
     return None
 
 
-async def _next_route(
+async def _choose_next_route(
     context: EntryContext, request: Generation, session: Session, outcome: AttemptOutcome
 ) -> Route:
-    """Replace the blamed stages, or choose a whole new route, waiting a little until one is there.
+    """Replace the blamed stages, or choose a new route. Wait if there is none yet.
 
     Raises:
-        ProblemError: If there is none within the patience; the caller is told at once then.
+        ProblemError: If there is none within the timeout, without waiting for the deadline.
     """
-    patient_until = now() + ROUTE_PATIENCE_SECONDS
+    give_up_at = now() + ROUTE_TIMEOUT_SECONDS
     while True:
-        _want_grants(context, request)
+        _request_grants(context, request)
         engines = eligible_engines(
             context.upstreams, request.pipeline, now(), allowed=request.allowed
         )
@@ -207,49 +209,49 @@
         chosen = choose_route(engines, request.pipeline.layers, context.pick)
         if not isinstance(chosen, Failure):
             return chosen.unwrap()
-        if now() >= patient_until:
-            raise _given_up(session, ResultCode.UPSTREAM_LOST, chosen.failure().detail)
+        if now() >= give_up_at:
+            raise _request_failed(session, ResultCode.UPSTREAM_LOST, chosen.failure().detail)
         await anyio.sleep(RECOVERY_PAUSE_SECONDS * context.rng.uniform(0.5, 1.5))
 
 
-def _blame(context: EntryContext, outcome: AttemptOutcome) -> None:
+def _record_failures(context: EntryContext, outcome: AttemptOutcome) -> None:
     for name in outcome.blamed:
         view = context.upstreams.views.get(name)
         if view is None:
             continue
-        if outcome.limited:
+        if outcome.rate_limited:
             continue
-        if outcome.leaving:
+        if outcome.draining:
             view.said_leaving = True
             continue
-        if outcome.rest_seconds is not None:
-            # No suspicion besides: that would have it probed until it answers.
-            note_rest(view, outcome.rest_seconds, now())
+        if outcome.backoff_seconds is not None:
+            # It is not suspected as well, because suspected engines are probed.
+            note_rest(view, outcome.backoff_seconds, now())
             continue
         note_failure(view, now())
-        if outcome.end is AttemptEnd.LOST:
+        if outcome.result is AttemptResult.LOST:
             domain = view.upstream.failure_domain
-            in_background(context, probe_failure_domain, context, domain)
+            run_in_background(context, probe_failure_domain, context, domain)
 
 
-def _spent(session: Session, outcome: AttemptOutcome) -> ProblemError:
-    if outcome.end is AttemptEnd.REFUSED:
+def _no_retry_left(session: Session, outcome: AttemptOutcome) -> ProblemError:
+    if outcome.result is AttemptResult.REFUSED:
         detail = "every upstream tried refused before starting"
         problem = Problem(code=ResultCode.UPSTREAM_REFUSED, detail=detail, retry_after=1.0)
         return ProblemError(problem)
-    return _given_up(session, ResultCode.UPSTREAM_LOST, "too many retries are in progress")
+    return _request_failed(session, ResultCode.UPSTREAM_LOST, "too many retries are in progress")
 
 
-def _given_up(session: Session, code: ResultCode, detail: str) -> ProblemError:
+def _request_failed(session: Session, code: ResultCode, detail: str) -> ProblemError:
     execution = Execution.RAN if session.tokens else Execution.UNKNOWN
     return ProblemError(Problem(code=code, detail=detail, execution=execution, retry_after=1.0))
 
 
-def _cancel_leftovers(context: EntryContext, session: Session, *, keep: frozenset[str]) -> None:
-    """Tell the stages of the last route that are not used any more to drop the request."""
+def _cancel_unused_stages(context: EntryContext, session: Session, *, keep: frozenset[str]) -> None:
+    """Cancel the request on stages of the previous route that are no longer used."""
     if session.route is None or (session.ended and not keep):
         return
     cancel = CancelRequest(session=session.session_id, attempt=session.attempt)
     for stage in session.route.stages:
         if stage.upstream not in keep:
-            in_background(context, cancel_on_engine, context.client, stage.address, cancel)
+            run_in_background(context, cancel_on_engine, context.client, stage.address, cancel)
--- a/src/ledgeladder/daemons/entry/main.py
+++ b/src/ledgeladder/daemons/entry/main.py
@@ -28,8 +28,8 @@
     control_links,
     first_sync,
     follow,
+    send_to_controls,
     serve_neighbour,
-    tell_controls,
 )
 from .neighbourhood import build_membership, run_membership
 from .watching import probe_suspects, watch_upstreams
@@ -115,8 +115,8 @@
         source_address=settings.box.source_address,
     )
     follower = Follower()
-    context.tell_controls = lambda message: tell_controls(follower, message)
-    keeper = context.limit_keeper = RateLimiter(
+    context.send_to_controls = lambda message: send_to_controls(follower, message)
+    limiter = context.limit_keeper = RateLimiter(
         table=context.upstreams.limits,
         attach=lambda name, held: attach_limit(context.upstreams, name, held),
         control_links=lambda: control_links(follower),
@@ -179,7 +179,7 @@
             run=lambda: watch_upstreams(context, membership),
             restart=Restart.ALWAYS,
         ),
-        Child(name="limits", run=lambda: run_rate_limiter(keeper), restart=Restart.ALWAYS),
+        Child(name="limits", run=lambda: run_rate_limiter(limiter), restart=Restart.ALWAYS),
         Child(name="probing", run=lambda: probe_suspects(context), restart=Restart.ALWAYS),
         *(follow_child(peer, control=True) for peer in settings.controls),
         *(follow_child(peer, control=False) for peer in neighbours),
--- a/src/ledgeladder/daemons/entry/neighbourhood.py
+++ b/src/ledgeladder/daemons/entry/neighbourhood.py
@@ -91,10 +91,10 @@
             continue
         context.metrics.gossip_bytes_received += len(data)
         reports = dict(membership.reports)
-        answers = protocol.receive(membership, message, now())
+        replies = protocol.receive(membership, message, now())
         if membership.reports != reports:
             adopt_reports(context, membership)
-        await send(answers)
+        await send(replies)
 
 
 def _sender(context: EntryContext, socket: UDPSocket) -> Send:
--- a/src/ledgeladder/daemons/entry/service_calls.py
+++ b/src/ledgeladder/daemons/entry/service_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services, among them those that may run at most once."""
+"""Runs calls of plain services, including calls that may run at most once."""
 
 from __future__ import annotations
 
@@ -32,30 +32,30 @@
 from ...upstreams.service import ServiceAnswer, ServiceCall, ServiceCallError, call_service
 from ..clock import now, wall_clock_ms
 from ..limit_keeper import record_advertised_rate
-from .checks import Permit, refuse
+from .checks import Permit, refusal
 from .command_client import commit
-from .context import in_background, limit_keeper_of
-from .crashes import may_be_sent, note_answered, note_lost_run, refuse_if_held
+from .context import limit_keeper_of, run_in_background
+from .crashes import may_retry, record_answered, record_crash, refuse_quarantined
 
 if TYPE_CHECKING:
 
     from .context import EntryContext
 
-CLAIM_SECONDS: Final = 2.5
-"""How long a claim may take before the request is refused as not run."""
+CLAIM_TIMEOUT_SECONDS: Final = 2.5
+"""Timeout of a claim, after which the request is refused as not run."""
 
-RECORD_SECONDS: Final = 30.0
-"""How long recording an outcome is tried; a claim without one ends as unknown."""
+RECORD_TIMEOUT_SECONDS: Final = 30.0
+"""Timeout for recording an outcome. A claim without one expires with an unknown outcome."""
 
 CLAIM_MARGIN_MS: Final = 2000
-"""Added to a request's deadline before its claim counts as abandoned."""
+"""Time after a request's deadline at which its claim counts as abandoned."""
 
-SERVER_ERROR: Final = 500
-"""Least HTTP status that counts as a failure of the service."""
+MIN_FAILURE_STATUS: Final = 500
+"""Lowest HTTP status that counts as a failure of the service."""
 
 
 class ClaimedCall(msgspec.Struct, frozen=True, kw_only=True):
-    """A call that may run at most once, with its claim."""
+    """A call that may run at most once, and its claim."""
 
     call: ServiceCall
     """The call."""
@@ -67,49 +67,49 @@
     """Client account."""
 
 
-async def answer_service(
+async def run_service_call(
     context: EntryContext, permit: Permit, call: ServiceCall, *, repeatable: bool
 ) -> ServiceAnswer:
-    """Run a call of a plain service.
+    """Run a call on a plain service.
 
     Args:
         context: The entry's state.
-        permit: What the request may do.
+        permit: Permit of the request.
         call: The call.
-        repeatable: False if it may run at most once.
+        repeatable: False if the call may run at most once.
 
     Returns:
-        The service's answer, perhaps a recorded one.
+        The service's answer, or the recorded answer of an earlier call with the same key.
 
     Raises:
-        ProblemError: If there is no answer; it says whether the call was run.
+        ProblemError: If there is no answer. It states whether the call was run.
     """
     note_first_try(context.budget)
     if repeatable:
-        refuse_if_held(context, permit.content)
+        refuse_quarantined(context, permit.fingerprint)
         return await _run_repeatable(context, permit, call)
-    return await _run_once(context, permit, call)
+    return await _run_at_most_once(context, permit, call)
 
 
 def _services(context: EntryContext, permit: Permit) -> list[UpstreamView]:
-    """Return the services that a call may be sent to, whatever their state."""
+    """Return the services that a call may be sent to, regardless of their state."""
     views = [context.upstreams.views.get(name) for name in permit.pipeline.services]
     return [view for view in views if view is not None and permit.allowed(view)]
 
 
-def _first_wait(context: EntryContext, permit: Permit) -> float | None:
-    """Return when the first service wants work again, in seconds; None if one wants some."""
+def _seconds_to_capacity(context: EntryContext, permit: Permit) -> float | None:
+    """Return the time until a service accepts work, in seconds; None if one accepts work now."""
     return first_wait(_services(context, permit), now())
 
 
 def _no_service(context: EntryContext, permit: Permit) -> ProblemError:
-    """Say why a call that was sent to no service was refused."""
-    wait = _first_wait(context, permit)
+    """Build the error for a call for which no service is available."""
+    wait = _seconds_to_capacity(context, permit)
     if wait is not None:
         is_limited = any_limited([view.limit for view in _services(context, permit)], now())
         code = ResultCode.UPSTREAMS_LIMITED if is_limited else ResultCode.UPSTREAMS_RESTING
-        return refuse(code, "all services of the pipeline", wait)
-    return refuse(ResultCode.NO_ROUTE, "no service is reachable", 1.0)
+        return refusal(code, "all services of the pipeline", wait)
+    return refusal(ResultCode.NO_ROUTE, "no service is reachable", 1.0)
 
 
 def _choose_service(context: EntryContext, permit: Permit, tried: set[str]) -> UpstreamView | None:
@@ -131,7 +131,7 @@
     sent_at = now()
     if not take_grants([view.limit], sent_at):
         raise ServiceCallError(Execution.NOT_RUN, "it takes no more requests in this second")
-    keeper, name = limit_keeper_of(context), view.upstream.name
+    limiter, name = limit_keeper_of(context), view.upstream.name
     view.in_flight += 1
     try:
         with anyio.fail_after(max(0.0, permit.deadline - now())):
@@ -141,24 +141,24 @@
         raise ServiceCallError(Execution.UNKNOWN, "the deadline passed") from error
     except ServiceCallError as error:
         record_advertised_rate(
-            keeper, name, error.named_rate, sent_at, is_own=error.rest_seconds is not None
+            limiter, name, error.named_rate, sent_at, is_own=error.backoff_seconds is not None
         )
-        if error.rest_seconds is None:
+        if error.backoff_seconds is None:
             note_failure(view, now())
         else:
-            # It works, and has said when it wants work again.
-            note_rest(view, error.rest_seconds, now())
+            # A requested back-off is no failure.
+            note_rest(view, error.backoff_seconds, now())
         if error.execution is Execution.UNKNOWN:
             upstream = view.upstream
-            await note_lost_run(context, permit.content, upstream.name, upstream.address)
+            await record_crash(context, permit.fingerprint, upstream.name, upstream.address)
         raise
     finally:
         view.in_flight -= 1
-    record_advertised_rate(keeper, name, answer.named_rate, sent_at, is_own=True)
-    if answer.rest_seconds is not None:
-        note_rest(view, answer.rest_seconds, now())
+    record_advertised_rate(limiter, name, answer.named_rate, sent_at, is_own=True)
+    if answer.backoff_seconds is not None:
+        note_rest(view, answer.backoff_seconds, now())
     note_success(view)
-    note_answered(context, permit.content)
+    record_answered(context, permit.fingerprint)
     return answer
 
 
@@ -174,26 +174,28 @@
         tried.add(view.upstream.name)
         try:
             answer = await _dispatch(context, permit, view, call)
-            if answer.status < SERVER_ERROR:
+            if answer.status < MIN_FAILURE_STATUS:
                 return answer
             may_have_run = True
         except ServiceCallError as error:
             if now() >= permit.deadline:
-                raise refuse(ResultCode.DEADLINE_EXCEEDED, str(error), 1.0) from error
+                raise refusal(ResultCode.DEADLINE_EXCEEDED, str(error), 1.0) from error
             may_have_run = may_have_run or error.execution is not Execution.NOT_RUN
             answer = None
-        if not may_have_run and _first_wait(context, permit) is not None:
+        if not may_have_run and _seconds_to_capacity(context, permit) is not None:
             raise _no_service(context, permit)
-        if not may_be_sent(context, permit.content):
-            raise refuse(ResultCode.UPSTREAM_LOST, "its upstreams ended", 1.0)
+        if not may_retry(context, permit.fingerprint):
+            raise refusal(ResultCode.UPSTREAM_LOST, "its upstreams ended", 1.0)
         if _choose_service(context, permit, tried) is None or not take_retry(context.budget):
             if answer is not None:
                 return answer
-            raise refuse(ResultCode.UPSTREAM_LOST, "no service answered", 1.0)
+            raise refusal(ResultCode.UPSTREAM_LOST, "no service answered", 1.0)
         context.metrics.events["service-retry"] += 1
 
 
-async def _run_once(context: EntryContext, permit: Permit, call: ServiceCall) -> ServiceAnswer:
+async def _run_at_most_once(
+    context: EntryContext, permit: Permit, call: ServiceCall
+) -> ServiceAnswer:
     check_key(call.key)
     claimed = ClaimedCall(call=call, attempt=secrets.token_hex(12), account=permit.account.name)
     recorded = await _claim(context, permit, claimed)
@@ -203,18 +205,18 @@
         answer = await _dispatch_claimed(context, permit, claimed)
     except ProblemError as error:
         if error.problem.known_execution is Execution.NOT_RUN:
-            in_background(context, _release, context, claimed)
+            run_in_background(context, _release, context, claimed)
         else:
-            in_background(context, _complete, context, claimed, None)
+            run_in_background(context, _complete, context, claimed, None)
         raise
     except BaseException:
-        # The caller went away or the process is stopping: what happened is not known.
-        in_background(context, _complete, context, claimed, None)
+        # The caller disconnected or the process is stopping, so the outcome is unknown.
+        run_in_background(context, _complete, context, claimed, None)
         raise
-    with anyio.move_on_after(CLAIM_SECONDS) as scope:
+    with anyio.move_on_after(CLAIM_TIMEOUT_SECONDS) as scope:
         await _complete(context, claimed, answer)
     if scope.cancelled_caught:
-        in_background(context, _complete, context, claimed, answer)
+        run_in_background(context, _complete, context, claimed, answer)
     return answer
 
 
@@ -222,14 +224,14 @@
     """Check an idempotency key.
 
     Raises:
-        ProblemError: If it is missing or is not a version 7 UUID.
+        ProblemError: If it is missing or not a version 7 UUID.
     """
     if not key:
         detail = "send Idempotency-Key: a version 7 UUID"
-        raise refuse(ResultCode.IDEMPOTENCY_KEY_MISSING, detail)
+        raise refusal(ResultCode.IDEMPOTENCY_KEY_MISSING, detail)
     if key_time_ms(key) is None:
         detail = "the Idempotency-Key must be a version 7 UUID (RFC 9562)"
-        raise refuse(ResultCode.IDEMPOTENCY_KEY_INVALID, detail)
+        raise refusal(ResultCode.IDEMPOTENCY_KEY_INVALID, detail)
 
 
 async def _claim(
@@ -238,10 +240,10 @@
     """Claim a call.
 
     Returns:
-        The recorded answer if the call was run before, or None if it is granted.
+        The recorded answer if the call was run before, or None if the claim is granted.
 
     Raises:
-        ProblemError: If it may not be dispatched.
+        ProblemError: If the call must not be dispatched.
     """
     call = claimed.call
     content = b"\0".join((call.method.encode(), call.path.encode(), call.body))
@@ -254,26 +256,26 @@
         deadline_ms=wall_clock_ms() + remaining_ms + CLAIM_MARGIN_MS,
         time_ms=wall_clock_ms(),
     )
-    seconds = min(CLAIM_SECONDS, max(0.0, permit.deadline - now()))
+    seconds = min(CLAIM_TIMEOUT_SECONDS, max(0.0, permit.deadline - now()))
     outcome = await commit(context.commands, command, seconds=seconds)
     if isinstance(outcome, Failure):
-        # The claim may be committed yet; nothing was dispatched, so it is given back.
-        in_background(context, _release, context, claimed)
+        # The claim may still be committed. Nothing was dispatched, so it is released.
+        run_in_background(context, _release, context, claimed)
         problem = outcome.failure()
-        raise refuse(problem.code, problem.detail, problem.retry_after)
+        raise refusal(problem.code, problem.detail, problem.retry_after)
     result = outcome.unwrap()
     assert isinstance(result, ClaimResult)
-    return judge_claim(result)
+    return evaluate_claim(result)
 
 
-def judge_claim(result: ClaimResult) -> ServiceAnswer | None:
-    """Turn the outcome of a claim into what the caller gets.
+def evaluate_claim(result: ClaimResult) -> ServiceAnswer | None:
+    """Evaluate the result of a claim.
 
     Args:
-        result: The outcome.
+        result: The result.
 
     Returns:
-        The recorded answer, or None if the call is granted and must be dispatched now.
+        The recorded answer, or None if the claim is granted and the call must be dispatched.
 
     Raises:
         ProblemError: If it must not be dispatched.
@@ -287,34 +289,34 @@
             )
         case ClaimVerdict.RUNNING:
             wait = result.retry_ms / 1000
-            raise refuse(ResultCode.CLAIM_RUNNING, "the first request is in progress", wait)
+            raise refusal(ResultCode.CLAIM_RUNNING, "the first request is in progress", wait)
         case ClaimVerdict.UNKNOWN:
             detail = "the request was started; whether it was run is not known"
-            raise refuse(ResultCode.CLAIM_UNKNOWN, detail)
+            raise refusal(ResultCode.CLAIM_UNKNOWN, detail)
         case ClaimVerdict.MISMATCH:
             detail = "the key was used with another body"
-            raise refuse(ResultCode.IDEMPOTENCY_KEY_REUSED, detail)
+            raise refusal(ResultCode.IDEMPOTENCY_KEY_REUSED, detail)
         case ClaimVerdict.EXPIRED:
             detail = "the key is older than the window in which keys are remembered"
-            raise refuse(ResultCode.IDEMPOTENCY_KEY_EXPIRED, detail)
+            raise refusal(ResultCode.IDEMPOTENCY_KEY_EXPIRED, detail)
         case ClaimVerdict.FUTURE:
             detail = "the time in the key lies in the future"
-            raise refuse(ResultCode.IDEMPOTENCY_KEY_INVALID, detail)
+            raise refusal(ResultCode.IDEMPOTENCY_KEY_INVALID, detail)
         case ClaimVerdict.FULL:
-            raise refuse(ResultCode.CLAIM_TABLE_FULL, "too many claims are held", 60.0)
+            raise refusal(ResultCode.CLAIM_TABLE_FULL, "too many claims are held", 60.0)
 
 
 async def _dispatch_claimed(
     context: EntryContext, permit: Permit, claimed: ClaimedCall
 ) -> ServiceAnswer:
-    """Dispatch a claimed call at most once; only a failed connection is tried elsewhere.
+    """Dispatch a claimed call; retry it on another service only if it was not run.
 
-    That its content is sent nowhere is said only here, under a claim that was granted: an earlier
-    call with the same key may have run.
+    Quarantined content is refused only here, under a granted claim. Refusing it as not run before
+    that would be wrong if an earlier call with the same key has run.
     """
     tried: set[str] = set()
     while True:
-        refuse_if_held(context, permit.content)
+        refuse_quarantined(context, permit.fingerprint)
         view = _choose_service(context, permit, tried)
         if view is None or now() >= permit.deadline:
             raise _no_service(context, permit)
@@ -343,7 +345,7 @@
         body=answer.body if answer else b"",
         time_ms=wall_clock_ms(),
     )
-    await commit(context.commands, command, seconds=RECORD_SECONDS)
+    await commit(context.commands, command, seconds=RECORD_TIMEOUT_SECONDS)
 
 
 async def _release(context: EntryContext, claimed: ClaimedCall) -> None:
@@ -353,4 +355,4 @@
         attempt=claimed.attempt,
         time_ms=wall_clock_ms(),
     )
-    await commit(context.commands, command, seconds=RECORD_SECONDS)
+    await commit(context.commands, command, seconds=RECORD_TIMEOUT_SECONDS)
--- a/src/ledgeladder/daemons/entry/watching.py
+++ b/src/ledgeladder/daemons/entry/watching.py
@@ -124,7 +124,7 @@
                 tasks.start_soon(_probe, context, view)
 
 
-async def answers(context: EntryContext, address: str) -> bool:
+async def responds_to_probe(context: EntryContext, address: str) -> bool:
     """Probe an engine, with as much patience as answered probes suggest.
 
     Args:
@@ -142,7 +142,7 @@
 
 
 async def _probe(context: EntryContext, view: UpstreamView) -> None:
-    if await answers(context, view.upstream.address):
+    if await responds_to_probe(context, view.upstream.address):
         note_success(view)
 
 
@@ -157,7 +157,7 @@
     """
 
     async def check(view: UpstreamView) -> None:
-        if not await answers(context, view.upstream.address):
+        if not await responds_to_probe(context, view.upstream.address):
             note_failure(view, now())
 
     async with anyio.create_task_group() as tasks:
--- a/src/ledgeladder/upstreams/engine.py
+++ b/src/ledgeladder/upstreams/engine.py
@@ -116,11 +116,11 @@
 class EngineRefusedError(Exception):
     """The head refused before it started."""
 
-    def __init__(self, body: RefusalBody, *, rest_seconds: float | None = None) -> None:
+    def __init__(self, body: RefusalBody, *, backoff_seconds: float | None = None) -> None:
         super().__init__(body.reason)
         self.body = body
         """What the engine said."""
-        self.rest_seconds = rest_seconds
+        self.backoff_seconds = backoff_seconds
         """How long it wants nothing more from this box, if it said so."""
 
 
@@ -272,7 +272,7 @@
     except msgspec.DecodeError:
         body = RefusalBody(reason=f"status {response.status_code}")
     raise EngineRefusedError(
-        body, rest_seconds=read_rest(response.status_code, raw_fields(response))
+        body, backoff_seconds=read_rest(response.status_code, raw_fields(response))
     )
 
 
--- a/src/ledgeladder/upstreams/service.py
+++ b/src/ledgeladder/upstreams/service.py
@@ -49,7 +49,7 @@
     body: bytes
     """Answer body."""
 
-    rest_seconds: float | None = None
+    backoff_seconds: float | None = None
     """How long the service wants nothing more from this box, if it said so."""
 
     named_rate: NamedRate | None = None
@@ -64,13 +64,13 @@
         execution: Execution,
         detail: str,
         *,
-        rest_seconds: float | None = None,
+        backoff_seconds: float | None = None,
         named_rate: NamedRate | None = None,
     ) -> None:
         super().__init__(detail)
         self.execution = execution
         """Whether the service may have run the call."""
-        self.rest_seconds = rest_seconds
+        self.backoff_seconds = backoff_seconds
         """How long the service wants nothing more from this box, if it said so."""
         self.named_rate = named_rate
         """Requests a second that it takes from all boxes together, if it names any."""
@@ -109,13 +109,13 @@
     if response.headers.get(EXECUTION_HEADER) == Execution.NOT_RUN.value:
         detail = f"refused with status {response.status_code}"
         raise ServiceCallError(
-            Execution.NOT_RUN, detail, rest_seconds=rest, named_rate=named_rate(response)
+            Execution.NOT_RUN, detail, backoff_seconds=rest, named_rate=named_rate(response)
         )
     content_type = response.headers.get("content-type", "application/octet-stream")
     return ServiceAnswer(
         status=response.status_code,
         content_type=content_type,
         body=bytes(body),
-        rest_seconds=rest,
+        backoff_seconds=rest,
         named_rate=named_rate(response),
     )
