--- a/src/ledgeladder/daemons/gateway/backpressure.py
+++ b/src/ledgeladder/daemons/gateway/backpressure.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from ...routing.forwarding_table import held_requests, limits_in
+from ...routing.forwarding_table import estimated_requests, pool_limits
 from ...routing.rate_grants import note_wanted
 from ...routing.upstream_wishes import ask_rest, note_fullness, say_leaving
 from ..limit_keeper import record_advertised_rate
@@ -48,7 +48,9 @@
     record_advertised_rate(
         limit_keeper_of(state), instance, facts.named_rate, sent_at, is_own=is_own
     )
-    if facts.leaving and say_leaving(state.table.book, upstream.registration, upstream.wishes):
+    if facts.leaving and say_leaving(
+        state.table.backpressure, upstream.registration, upstream.backpressure
+    ):
         state.metrics.counters["upstream-said-leaving"] += 1
         logger.info(
             "upstream is draining",
@@ -84,9 +86,11 @@
         request: Id of the refused attempt; empty for a call that this box made itself.
     """
     now = anyio.current_time()
-    held = held_requests(upstream, now, state.entry_count)
-    note_fullness(upstream.wishes, held, upstream.registration.slots, seconds, now)
-    if not ask_rest(state.table.book, upstream.registration, upstream.wishes, seconds, now):
+    held = estimated_requests(upstream, now, state.entry_count)
+    note_fullness(upstream.backpressure, held, upstream.registration.slots, seconds, now)
+    if not ask_rest(
+        state.table.backpressure, upstream.registration, upstream.backpressure, seconds, now
+    ):
         return
     state.metrics.counters["upstream-asked-rest"] += 1
     state.backoff_watch.upstreams[upstream.registration.instance] = upstream
@@ -99,14 +103,14 @@
             "seconds": round(seconds, 3),
             "in_flight": upstream.in_flight,
             "held": round(held, 1),
-            "most": upstream.wishes.most if now < upstream.wishes.most_until else None,
+            "most": upstream.backpressure.most if now < upstream.backpressure.most_until else None,
         },
     )
 
 
 def request_grants(state: GatewayState, pool: str) -> None:
     """Record demand for a pool, and wake the limit keeper if rate grants are missing."""
-    if note_wanted(limits_in(state.table, pool), anyio.current_time()):
+    if note_wanted(pool_limits(state.table, pool), anyio.current_time()):
         limit_keeper_of(state).wake.set()
 
 
@@ -116,7 +120,7 @@
     while True:
         now = anyio.current_time()
         for instance, upstream in list(watch.upstreams.items()):
-            if upstream.wishes.rest_until <= now:
+            if upstream.backpressure.rest_until <= now:
                 del watch.upstreams[instance]
                 logger.info(
                     "upstream back-off ended",
@@ -124,7 +128,8 @@
                 )
         watch.changed = anyio.Event()
         until = min(
-            (item.wishes.rest_until for item in watch.upstreams.values()), default=float("inf")
+            (item.backpressure.rest_until for item in watch.upstreams.values()),
+            default=float("inf"),
         )
         with anyio.move_on_after(until - now):
             await watch.changed.wait()
--- a/src/ledgeladder/daemons/gateway/control_link.py
+++ b/src/ledgeladder/daemons/gateway/control_link.py
@@ -39,12 +39,12 @@
 from ...model.registration import UpstreamState
 from ...platform.configuration import decode_configuration
 from ...routing.forwarding_table import (
+    apply_peer_load,
     drop_upstream,
-    note_ended,
-    note_lost,
-    other_run,
+    other_instance,
     put_registration,
-    take_others,
+    record_exit,
+    record_loss,
 )
 from ...routing.load_sharing import is_report_due, load_interval
 from ...routing.route_index import build_index
@@ -178,7 +178,7 @@
     for instance, load in updates:
         item = state.table.upstreams.get(instance)
         if item is not None:
-            take_others(item, load.in_flight, load.kv_reserved, now)
+            apply_peer_load(item, load.in_flight, load.kv_reserved, now)
 
 
 def _handle_version_reply(state: GatewayState, link: Link, reply: VersionReply) -> None:
@@ -229,7 +229,7 @@
         instance = registration.instance
         if instance in state.exited_instances:
             continue
-        other = other_run(state.table, registration)
+        other = other_instance(state.table, registration)
         if other is not None and registration.state is not UpstreamState.GONE:
             if other.registration.born_ms >= registration.born_ms:
                 # A delayed registration of an earlier instance.
@@ -256,8 +256,8 @@
     """Drop an instance whose upstream has restarted, and interrupt the requests on it."""
     instance = upstream.registration.instance
     _record_exited(state, instance)
-    note_ended(upstream, now)
-    note_lost(upstream, now)
+    record_exit(upstream, now)
+    record_loss(upstream, now)
     drop_upstream(state.table, instance)
     logger.info("upstream restarted", extra={"upstream": instance})
 
@@ -274,11 +274,11 @@
     for instance, age in updates:
         known = state.table.upstreams.get(instance)
         if known is not None:
-            known.heard_at = max(known.heard_at, now - age)
+            known.last_seen = max(known.last_seen, now - age)
     expired = [
         instance
         for instance, known in state.table.upstreams.items()
-        if now - known.heard_at > UPSTREAM_EXPIRY_SECONDS
+        if now - known.last_seen > UPSTREAM_EXPIRY_SECONDS
     ]
     for instance in expired:
         drop_upstream(state.table, instance)
--- a/src/ledgeladder/daemons/gateway/crashes.py
+++ b/src/ledgeladder/daemons/gateway/crashes.py
@@ -79,7 +79,7 @@
         upstreams: Upstreams that the attempt had reached.
         started_at: Monotonic time at which the attempt was sent.
     """
-    exited = next((item for item in upstreams if item.ended_at >= started_at), None)
+    exited = next((item for item in upstreams if item.exited_at >= started_at), None)
     if exited is None:
         return
     fingerprint = content_fingerprint(trace, request, permit)
--- a/src/ledgeladder/daemons/gateway/loss_updates.py
+++ b/src/ledgeladder/daemons/gateway/loss_updates.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from ...routing.forwarding_table import note_reachable, note_told_lost
+from ...routing.forwarding_table import record_reachable, record_reported_loss
 from .probing import LIVENESS_SECONDS, find_unreachable
 
 if TYPE_CHECKING:
@@ -32,9 +32,9 @@
     """
     engine = state.table.upstreams.get(instance)
     now = anyio.current_time()
-    if engine is None or now - engine.proven_at <= LIVENESS_SECONDS:
+    if engine is None or now - engine.last_success_at <= LIVENESS_SECONDS:
         return None
-    if not note_told_lost(engine, now):
+    if not record_reported_loss(engine, now):
         return None
     state.metrics.counters["engine-told-lost"] += 1
     logger.info(
@@ -49,4 +49,4 @@
     The streams then move to another path after one round trip instead of a stall timeout.
     """
     if not await find_unreachable(state, [engine], set(), liveness_seconds=0.0):
-        note_reachable(engine)
+        record_reachable(engine)
--- a/src/ledgeladder/daemons/gateway/plain.py
+++ b/src/ledgeladder/daemons/gateway/plain.py
@@ -14,14 +14,14 @@
 from ...model.traffic import RequestKind
 from ...platform.exchange import caller_headers
 from ...routing.forwarding_table import (
-    first_wait,
+    accepts_work,
     has_alternative,
-    is_at_most,
-    note_failed,
-    note_full,
-    note_lost,
-    note_served,
-    takes_work,
+    is_at_max_requests,
+    min_remaining_wait,
+    record_failure,
+    record_full,
+    record_loss,
+    record_success,
 )
 from ...routing.pace import note_gap, stall_after
 from ...routing.rate_grants import any_limited
@@ -200,7 +200,7 @@
     pool = state.table.pools.get(permit.pool.name, [])
     if _has_saturated(state, permit):
         return answer_pace(state, permit.pool.name).mean
-    return first_wait(pool, now)
+    return min_remaining_wait(pool, now)
 
 
 async def _run_attempt(
@@ -245,7 +245,7 @@
         outcome = f"not sent: {error}"
         attempts.sent -= 1
         attempts.executions -= 1
-        note_lost(upstream, anyio.current_time())
+        record_loss(upstream, anyio.current_time())
         return False
     except BackpressureError as error:
         outcome = f"withheld: {error}"
@@ -254,13 +254,13 @@
         return False
     except AnswerLostError as error:
         outcome = f"lost: {error}"
-        note_failed(upstream, anyio.current_time())
+        record_failure(upstream, anyio.current_time())
         if await check_exited(state, upstream, set()):
             record_crash(state, permit, request, trace, [upstream], now)
         return False
     except TimeoutError:
         outcome = f"no answer within {seconds:.2f} s"
-        note_failed(upstream, anyio.current_time())
+        record_failure(upstream, anyio.current_time())
         # Existing connections may have stalled permanently while new ones work, so idle ones are
         # closed.
         await state.connections.close_idle(upstream.registration.address)
@@ -362,9 +362,9 @@
         attempts.executions -= 1
         attempts.refusals += 1
         if answer.facts.wrong_upstream:
-            note_failed(upstream, now)
+            record_failure(upstream, now)
         else:
-            note_full(upstream, now)
+            record_full(upstream, now)
         return False
     if not answer.facts.signed:
         # An unsigned answer may come from another process.
@@ -372,7 +372,7 @@
     attempts.answer, attempts.body = answer, body
     if status >= MIN_FAILURE_STATUS:
         return False
-    note_served(upstream)
+    record_success(upstream)
     return True
 
 
@@ -380,7 +380,10 @@
     """Return whether any service of the pool is excluded because it is saturated."""
     now = anyio.current_time()
     pool = state.table.pools.get(permit.pool.name, [])
-    return any(takes_work(item, now) and is_at_most(item, now, state.entry_count) for item in pool)
+    return any(
+        accepts_work(item, now) and is_at_max_requests(item, now, state.entry_count)
+        for item in pool
+    )
 
 
 async def _answer_caller(
@@ -403,7 +406,7 @@
         return
     if attempts.executions == 0:
         pool, now = state.table.pools.get(permit.pool.name, []), anyio.current_time()
-        wait = first_wait(pool, now)
+        wait = min_remaining_wait(pool, now)
         if wait is not None:
             is_limited = any_limited([item.limit for item in pool], now)
             code = ResultCode.UPSTREAMS_LIMITED if is_limited else ResultCode.UPSTREAMS_RESTING
--- a/src/ledgeladder/daemons/gateway/probing.py
+++ b/src/ledgeladder/daemons/gateway/probing.py
@@ -10,7 +10,7 @@
 from ...http1 import ConnectError, connect
 from ...links import nobody_listens
 from ...links.messages import LostReport
-from ...routing.forwarding_table import note_ended, note_lost
+from ...routing.forwarding_table import record_exit, record_loss
 from ...routing.pace import note_gap, probe_patience
 
 if TYPE_CHECKING:
@@ -75,7 +75,7 @@
 
     async with anyio.create_task_group() as tasks:
         for engine in engines:
-            if anyio.current_time() - engine.proven_at > liveness_seconds:
+            if anyio.current_time() - engine.last_success_at > liveness_seconds:
                 tasks.start_soon(probe, engine)
     for engine in found:
         report_lost(state, engine, dead)
@@ -100,7 +100,7 @@
     seconds = probe_timeout(state, upstream.registration.pool)
     if not await nobody_listens(address, state.settings.box.address, seconds=seconds):
         return False
-    note_ended(upstream, anyio.current_time())
+    record_exit(upstream, anyio.current_time())
     _log_loss(upstream, f"{address}: connection refused")
     report_lost(state, upstream, dead)
     return True
@@ -125,7 +125,7 @@
     """
     dead.add(engine.registration.instance)
     state.metrics.counters["engine-lost"] += 1
-    note_lost(engine, anyio.current_time())
+    record_loss(engine, anyio.current_time())
     if state.peers is not None:
         for link in state.peers.links.values():
             link.post(LostReport(instance=engine.registration.instance))
@@ -166,12 +166,12 @@
         except ConnectError as error:
             reason = str(error)
             if error.is_refusal:
-                note_ended(engine, anyio.current_time())
+                record_exit(engine, anyio.current_time())
             if not isinstance(error.__cause__, TimeoutError):
                 return reason
         else:
             note_gap(state.probe_pace, elapsed)
-            engine.proven_at = anyio.current_time()
+            engine.last_success_at = anyio.current_time()
             return ""
         elapsed = anyio.current_time() - started_at
         if elapsed <= timeout + LATE_TIMER_SECONDS:
--- a/src/ledgeladder/daemons/gateway/slowdown_queries.py
+++ b/src/ledgeladder/daemons/gateway/slowdown_queries.py
@@ -8,7 +8,7 @@
 import anyio
 
 from ...http1 import AnswerBrokenError, ConnectError, RestAskedError
-from ...routing.forwarding_table import is_resting
+from ...routing.forwarding_table import is_backing_off
 from ...routing.rate_grants import is_limited
 from ..engine_call import fetch_report
 from .backpressure import record_backoff
@@ -44,7 +44,7 @@
         item
         for item in path.engines
         if now - item.slowdown_at >= QUERY_INTERVAL_SECONDS
-        and not is_resting(item, now)
+        and not is_backing_off(item, now)
         and not is_limited(item.limit, now)
     ]
     with anyio.move_on_after(QUERY_TIMEOUT_SECONDS):
--- a/src/ledgeladder/daemons/gateway/state.py
+++ b/src/ledgeladder/daemons/gateway/state.py
@@ -15,10 +15,10 @@
 from ...http1 import ConnectionPool
 from ...model.traffic import CallerLimits
 from ...routing.forwarding_table import (
-    DomainDoubts,
     ForwardedUpstream,
     ForwardingTable,
-    attach_limit,
+    SuspectedDomains,
+    set_limit,
 )
 from ...routing.link_load import LinkLoad
 from ...routing.pace import Pace
@@ -174,7 +174,7 @@
     backoff_watch: BackoffWatch = msgspec.field(default_factory=BackoffWatch)
     """Upstreams that requested back-off."""
 
-    suspected_domains: DomainDoubts = msgspec.field(default_factory=DomainDoubts)
+    suspected_domains: SuspectedDomains = msgspec.field(default_factory=SuspectedDomains)
     """Failure domains that may be unreachable."""
 
     suspected_links: SuspectedLinks = msgspec.field(default_factory=SuspectedLinks)
@@ -249,7 +249,7 @@
     def __post_init__(self) -> None:
         self.limit_keeper = RateLimiter(
             table=self.table.limits,
-            attach=lambda instance, limit: attach_limit(self.table, instance, limit),
+            attach=lambda instance, limit: set_limit(self.table, instance, limit),
             control_links=lambda: list(self.peers.links.values()) if self.peers is not None else [],
         )
 
--- a/src/ledgeladder/daemons/gateway/stream_attempt.py
+++ b/src/ledgeladder/daemons/gateway/stream_attempt.py
@@ -11,12 +11,12 @@
 from ...http1 import AnswerBrokenError
 from ...model.exchange import Dispatch
 from ...routing.forwarding_table import (
-    FULL_SECONDS,
-    doubt_domain,
-    note_ended,
-    note_failed,
-    note_full,
-    note_served,
+    FULL_AVOID_SECONDS,
+    record_domain_failure,
+    record_exit,
+    record_failure,
+    record_full,
+    record_success,
 )
 from ...routing.link_load import record_transfer
 from ...routing.paths import ChosenPath, release, reserve
@@ -100,7 +100,7 @@
     box, which is no evidence that the request crashed it. It counts as reached only if it made
     progress after the attempt was sent.
     """
-    later = [engine for engine in path.engines[1:] if engine.proven_at >= started_at]
+    later = [engine for engine in path.engines[1:] if engine.last_success_at >= started_at]
     return [path.head, *later]
 
 
@@ -154,7 +154,7 @@
     state.metrics.counters[f"run-{result.value}"] += 1
     if result is AttemptResult.COMPLETE:
         for engine in path.engines:
-            note_served(engine)
+            record_success(engine)
         return
     if result is AttemptResult.REFUSED:
         session.attempts -= 1
@@ -213,10 +213,10 @@
         answer = await open_watched(state, permit, request, session, path, dispatch)
     except NotSentError as error:
         if error.is_refusal:
-            note_ended(path.head, anyio.current_time())
+            record_exit(path.head, anyio.current_time())
             report_lost(state, path.head, session.dead)
         else:
-            note_failed(path.head, anyio.current_time())
+            record_failure(path.head, anyio.current_time())
         _suspect_domain(state, session, path.head)
         return AttemptResult.NOT_SENT, str(error)
     except BackpressureError as error:
@@ -261,7 +261,7 @@
         return AttemptResult.REFUSED, f"status {status} at {at_fault[0].registration.instance}"
     if not answer.facts.signed:
         return AttemptResult.LOST, f"unsigned answer with status {status}"
-    note_failed(path.head, anyio.current_time())
+    record_failure(path.head, anyio.current_time())
     session.excluded.add(path.head.registration.instance)
     session.failure, session.failure_body = answer, body
     return AttemptResult.LOST, f"status {status}"
@@ -274,15 +274,15 @@
 
     The first engine refuses by itself if it is full or draining. It names a later engine if that
     one is full or dead. A dead engine that is recorded as full would receive an attempt from each
-    box every `FULL_SECONDS` while it is registered; a probe tells the two cases apart.
+    box every `FULL_AVOID_SECONDS` while it is registered; a probe tells the two cases apart.
     """
     session.excluded.add(engine.registration.instance)
     _suspect_domain(state, session, engine)
     if engine is not path.head and await find_unreachable(
-        state, [engine], session.dead, liveness_seconds=FULL_SECONDS
+        state, [engine], session.dead, liveness_seconds=FULL_AVOID_SECONDS
     ):
         return
-    note_full(engine, anyio.current_time())
+    record_full(engine, anyio.current_time())
 
 
 def _suspect_domain(state: GatewayState, session: StreamSession, engine: ForwardedUpstream) -> None:
@@ -290,7 +290,7 @@
     domain = engine.registration.failure_domain
     if domain != state.settings.box.failure_domain:
         session.failed_domains.add(domain)
-        doubt_domain(state.suspected_domains, engine, anyio.current_time())
+        record_domain_failure(state.suspected_domains, engine, anyio.current_time())
 
 
 async def _identify_failed_engines(
--- a/src/ledgeladder/daemons/gateway/stream_events.py
+++ b/src/ledgeladder/daemons/gateway/stream_events.py
@@ -87,7 +87,7 @@
     """Record the times of new events, and mark the engines of the path as alive."""
     now = anyio.current_time()
     for engine in path.engines:
-        engine.proven_at = now
+        engine.last_success_at = now
     gap = now - session.last_progress_at
     if not session.started:
         record_duration(state.metrics.first_event, gap)
--- a/src/ledgeladder/daemons/gateway/stream_paths.py
+++ b/src/ledgeladder/daemons/gateway/stream_paths.py
@@ -8,7 +8,7 @@
 import anyio
 import msgspec
 
-from ...routing.forwarding_table import is_doubtful
+from ...routing.forwarding_table import is_suspected
 from ...routing.link_load import NEW_REQUEST_LIMIT, RESUMED_STREAM_LIMIT, link_utilization
 from ...routing.path_costs import OVERCOMMIT_FRACTION, PathRequest
 from ...routing.paths import ChosenPath, NoPathReason, choose_path, explain_no_path
@@ -119,7 +119,7 @@
     domain = engine.registration.failure_domain
     if domain == state.settings.box.failure_domain:
         return False
-    return domain in session.failed_domains or is_doubtful(state.suspected_domains, domain, now)
+    return domain in session.failed_domains or is_suspected(state.suspected_domains, domain, now)
 
 
 def _domain_count(state: GatewayState, permit: Permit) -> int:
--- a/src/ledgeladder/daemons/gateway/upstream_call.py
+++ b/src/ledgeladder/daemons/gateway/upstream_call.py
@@ -17,7 +17,7 @@
     send_request,
 )
 from ...platform.exchange import dispatch_headers, read_answer_facts
-from ...routing.forwarding_table import is_resting, note_load, takes_work
+from ...routing.forwarding_table import accepts_work, is_backing_off, record_load
 from ...routing.rate_grants import take_grants
 from .backpressure import handle_backpressure
 
@@ -124,7 +124,7 @@
         await send_request(connection, request.method, request.target, headers, request.body)
         head = await read_head(connection)
         facts = read_answer_facts(head.status_code, head.headers)
-        note_load(upstream, facts.load, anyio.current_time())
+        record_load(upstream, facts.load, anyio.current_time())
         handle_backpressure(state, permit, upstream, facts, sent_at)
         if not facts.wrong_upstream and facts.attempt_id != permit.facts.attempt_id:
             raise AnswerBrokenError("the answer belongs to another request")
@@ -140,13 +140,15 @@
 def _backpressure_reason(targets: Iterable[ForwardedUpstream], now: float) -> str:
     """Return why a request must not be sent to the targets; empty if it may be."""
     for item in targets:
-        if takes_work(item, now):
+        if accepts_work(item, now):
             continue
         instance = item.registration.instance
-        if item.leaving:
+        if item.draining:
             return f"{instance} is draining"
         return (
-            f"{instance} is backing off" if is_resting(item, now) else f"{instance} is rate-limited"
+            f"{instance} is backing off"
+            if is_backing_off(item, now)
+            else f"{instance} is rate-limited"
         )
     return ""
 
--- a/src/ledgeladder/daemons/gateway/waiting.py
+++ b/src/ledgeladder/daemons/gateway/waiting.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from ...routing.forwarding_table import covers_layers, is_at_most, is_usable, takes_work
+from ...routing.forwarding_table import accepts_work, covers_layers, is_at_max_requests, is_usable
 from ...routing.pace import note_gap
 from ...routing.route_index import find_route
 from ...routing.wait_queue import enter, leave, next_to_go, reading_seconds, wait_until
@@ -191,7 +191,8 @@
     known = state.table.pools.get(pool.name, [])
     if pool.engine is None:
         has_capacity = any(
-            takes_work(item, now) and not is_at_most(item, now, state.entry_count) for item in known
+            accepts_work(item, now) and not is_at_max_requests(item, now, state.entry_count)
+            for item in known
         )
     else:
         has_capacity = covers_layers(
@@ -214,7 +215,7 @@
     if pool.engine is not None:
         return reading_seconds(pool.engine, permit.facts.prompt_tokens)
     now = anyio.current_time()
-    accepting = [item for item in state.table.pools.get(pool.name, []) if takes_work(item, now)]
+    accepting = [item for item in state.table.pools.get(pool.name, []) if accepts_work(item, now)]
     slots = sum(item.registration.slots for item in accepting)
     return answer_pace(state, pool.name).mean * state.entry_count / max(1, slots)
 
--- a/src/ledgeladder/routing/forwarding_table.py
+++ b/src/ledgeladder/routing/forwarding_table.py
@@ -23,32 +23,32 @@
 AVOID_SECONDS: Final = 1.0
 """How long an upstream is avoided after a failure; doubled with each further one."""
 
-AVOID_LIMIT_SECONDS: Final = 8.0
+MAX_AVOID_SECONDS: Final = 8.0
 """Longest time that an upstream is avoided before it gets work again, to find out."""
 
-FULL_SECONDS: Final = 0.25
+FULL_AVOID_SECONDS: Final = 0.25
 """How long an upstream that was full is avoided, about one report interval of an engine."""
 
-SILENT_SECONDS: Final = 4.0
+INACTIVE_SECONDS: Final = 4.0
 """An upstream that nobody has heard for this long, over three heartbeats, is a last resort."""
 
-DOUBT_SECONDS: Final = 1.0
+SUSPECT_SECONDS: Final = 1.0
 """How long failures of a failure domain are held against it; then it gets work again."""
 
-DOUBT_UPSTREAMS: Final = 2
+MIN_SUSPECT_UPSTREAMS: Final = 2
 """Upstreams of a failure domain that must fail: one alone is more likely lost itself."""
 
-DOUBTS_KEPT: Final = 16
+MAX_KEPT_FAILURES: Final = 16
 """Failures that are remembered for each failure domain."""
 
-SLOWDOWN_BELIEVED_SECONDS: Final = 4.0
+SLOWDOWN_VALID_SECONDS: Final = 4.0
 """How long an engine counts as slow from the moment it was asked; then a few requests find out."""
 
-HEARD_MARGIN_SECONDS: Final = 0.05
+LAST_SEEN_MARGIN_SECONDS: Final = 0.05
 """How much later than its loss an upstream must have been heard to get work again: ages are told in
 hundredths of a second, and news of a heartbeat takes a few milliseconds."""
 
-TOLD_LOAD_SECONDS: Final = 0.3
+REPORTED_LOAD_VALID_SECONDS: Final = 0.3
 """How long the load that an upstream told is believed."""
 
 
@@ -58,10 +58,10 @@
     registration: Registration
     """What it said of itself."""
 
-    heard_at: float
+    last_seen: float
     """When anybody last heard it, on the own monotonic clock."""
 
-    began_at: float = 0.0
+    started_at: float = 0.0
     """Estimate of when the run began, on the own monotonic clock."""
 
     in_flight: int = 0
@@ -76,13 +76,13 @@
     reported_kv: float = 0.0
     """Tokens x layers in that report."""
 
-    others_in_flight: int = 0
+    peer_in_flight: int = 0
     """Requests of other boxes, as last told."""
 
-    others_kv: float = 0.0
+    peer_kv: float = 0.0
     """Tokens x layers of other boxes, as last told."""
 
-    others_at: float = float("-inf")
+    peer_load_at: float = float("-inf")
     """When that was told, on the monotonic clock."""
 
     failures: int = 0
@@ -95,11 +95,11 @@
     """When it was found dead, on the monotonic clock; it gets no new work until somebody has heard
     it since."""
 
-    ended_at: float = float("-inf")
+    exited_at: float = float("-inf")
     """When its address refused a connection, on the monotonic clock: its process has ended, or a
     cut refuses connections. A machine without power or behind a silent cut refuses none."""
 
-    proven_at: float = float("-inf")
+    last_success_at: float = float("-inf")
     """When it last showed that it works: an event came over a path through it, or it accepted a
     probe. On the monotonic clock."""
 
@@ -115,7 +115,7 @@
     load_at: float = 0.0
     """When it told it, on the monotonic clock."""
 
-    wishes: Wishes = msgspec.field(default_factory=Wishes)
+    backpressure: Wishes = msgspec.field(default_factory=Wishes)
     """What it asked of this box in answers."""
 
     limit: HeldLimit | None = None
@@ -125,9 +125,9 @@
     """Called each time that it is found lost; one for each request that passes it."""
 
     @property
-    def leaving(self) -> bool:
+    def draining(self) -> bool:
         """True if it must get no new work for good."""
-        return self.wishes.leaving or self.registration.state is not UpstreamState.READY
+        return self.backpressure.leaving or self.registration.state is not UpstreamState.READY
 
 
 class ForwardingTable(msgspec.Struct, kw_only=True):
@@ -142,7 +142,7 @@
     newest: dict[str, str] = msgspec.field(default_factory=dict)
     """Newest run of each upstream by the id that it keeps over restarts."""
 
-    book: WishBook = msgspec.field(default_factory=WishBook)
+    backpressure: WishBook = msgspec.field(default_factory=WishBook)
     """What they asked of this box, kept while they are not registered."""
 
     limits: LimitTable = msgspec.field(default_factory=LimitTable)
@@ -152,83 +152,85 @@
     """Time between two heartbeats of an upstream, in seconds."""
 
 
-class DomainDoubts(msgspec.Struct, kw_only=True):
+class SuspectedDomains(msgspec.Struct, kw_only=True):
     """Failure domains that may be cut off from this one or from its engines."""
 
     failures: dict[str, list[tuple[float, str]]] = msgspec.field(default_factory=dict)
     """Recent failures by failure domain: when, and at which upstream."""
 
 
-def doubt_domain(doubts: DomainDoubts, upstream: ForwardedUpstream, now: float) -> None:
+def record_domain_failure(
+    suspected: SuspectedDomains, upstream: ForwardedUpstream, now: float
+) -> None:
     """Note that an upstream of another failure domain failed or refused."""
     registration = upstream.registration
-    recent = doubts.failures.setdefault(registration.failure_domain, [])
+    recent = suspected.failures.setdefault(registration.failure_domain, [])
     recent.append((now, registration.instance))
-    del recent[:-DOUBTS_KEPT]
+    del recent[:-MAX_KEPT_FAILURES]
 
 
-def is_doubtful(doubts: DomainDoubts, domain: str, now: float) -> bool:
+def is_suspected(suspected: SuspectedDomains, domain: str, now: float) -> bool:
     """Tell whether two upstreams of a failure domain have failed lately, as in a cut."""
-    recent = doubts.failures.get(domain, ())
-    return len({name for at, name in recent if now - at < DOUBT_SECONDS}) >= DOUBT_UPSTREAMS
+    recent = suspected.failures.get(domain, ())
+    return len({name for at, name in recent if now - at < SUSPECT_SECONDS}) >= MIN_SUSPECT_UPSTREAMS
 
 
 def put_registration(
-    table: ForwardingTable, registration: Registration, heard_at: float
+    table: ForwardingTable, registration: Registration, last_seen: float
 ) -> ForwardedUpstream | None:
     """Take in a registration that is newer than what was known.
 
     Args:
         table: The table.
         registration: The registration.
-        heard_at: When the upstream was heard, on the own monotonic clock.
+        last_seen: When the upstream was heard, on the own monotonic clock.
 
     Returns:
         The upstream, or None if it has ended.
     """
-    held = table.upstreams.get(registration.instance)
+    upstream = table.upstreams.get(registration.instance)
     if registration.state is UpstreamState.GONE:
         drop_upstream(table, registration.instance)
         return None
-    began_at = run_began(registration, heard_at, table.heartbeat)
-    if held is None:
+    started_at = run_began(registration, last_seen, table.heartbeat)
+    if upstream is None:
         # The first message is sent at the beginning: one interval less than for comparing runs.
-        wishes = wishes_of(table.book, registration, began_at + table.heartbeat)
-        held = ForwardedUpstream(
+        backpressure = wishes_of(table.backpressure, registration, started_at + table.heartbeat)
+        upstream = ForwardedUpstream(
             registration=registration,
-            heard_at=heard_at,
-            began_at=began_at,
-            wishes=wishes,
+            last_seen=last_seen,
+            started_at=started_at,
+            backpressure=backpressure,
             limit=table.limits.limits.get(registration.instance),
         )
-        table.upstreams[registration.instance] = held
+        table.upstreams[registration.instance] = upstream
         table.newest[registration.upstream_id] = registration.instance
-        table.pools.setdefault(registration.pool, []).append(held)
-        return held
-    if registration.pool != held.registration.pool:
-        _leave_pool(table, held)
-        table.pools.setdefault(registration.pool, []).append(held)
-    held.registration = registration
-    held.began_at = min(held.began_at, began_at)
-    held.heard_at = max(held.heard_at, heard_at)
-    return held
-
-
-def attach_limit(table: ForwardingTable, instance: str, held: HeldLimit | None) -> None:
+        table.pools.setdefault(registration.pool, []).append(upstream)
+        return upstream
+    if registration.pool != upstream.registration.pool:
+        _leave_pool(table, upstream)
+        table.pools.setdefault(registration.pool, []).append(upstream)
+    upstream.registration = registration
+    upstream.started_at = min(upstream.started_at, started_at)
+    upstream.last_seen = max(upstream.last_seen, last_seen)
+    return upstream
+
+
+def set_limit(table: ForwardingTable, instance: str, limit: HeldLimit | None) -> None:
     """Give an upstream its limit, or take it away, if it is registered."""
     upstream = table.upstreams.get(instance)
     if upstream is not None:
-        upstream.limit = held
+        upstream.limit = limit
 
 
-def limits_in(table: ForwardingTable, pool: str) -> list[HeldLimit]:
+def pool_limits(table: ForwardingTable, pool: str) -> list[HeldLimit]:
     """Return the limits of the registered upstreams of a pool that do not leave."""
     return [
-        held
-        for instance, held in table.limits.limits.items()
+        limit
+        for instance, limit in table.limits.limits.items()
         if (upstream := table.upstreams.get(instance)) is not None
         and upstream.registration.pool == pool
-        and not upstream.leaving
+        and not upstream.draining
     ]
 
 
@@ -243,19 +245,19 @@
         del table.newest[upstream]
 
 
-def other_run(table: ForwardingTable, registration: Registration) -> ForwardedUpstream | None:
+def other_instance(table: ForwardingTable, registration: Registration) -> ForwardedUpstream | None:
     """Return the known run of an upstream if a registration names another one; else None."""
     newest = table.newest.get(registration.upstream_id, registration.instance)
     return None if newest == registration.instance else table.upstreams.get(newest)
 
 
-def _leave_pool(table: ForwardingTable, held: ForwardedUpstream) -> None:
-    pool = table.pools.get(held.registration.pool, [])
-    if held in pool:
-        pool.remove(held)
+def _leave_pool(table: ForwardingTable, upstream: ForwardedUpstream) -> None:
+    pool = table.pools.get(upstream.registration.pool, [])
+    if upstream in pool:
+        pool.remove(upstream)
 
 
-def note_served(upstream: ForwardedUpstream) -> None:
+def record_success(upstream: ForwardedUpstream) -> None:
     """Note that an upstream did its work.
 
     It is avoided no longer, whether it had failed, was full or was found dead.
@@ -265,59 +267,59 @@
     upstream.lost_at = float("-inf")
 
 
-def note_failed(upstream: ForwardedUpstream, now: float) -> None:
+def record_failure(upstream: ForwardedUpstream, now: float) -> None:
     """Note that an upstream failed, and avoid it for a while, longer with each failure in a row."""
     if now < upstream.avoid_until:
         # Several requests fail together when one upstream is lost; they count once.
         return
     upstream.failures += 1
-    seconds = min(AVOID_SECONDS * 2 ** (upstream.failures - 1), AVOID_LIMIT_SECONDS)
+    seconds = min(AVOID_SECONDS * 2 ** (upstream.failures - 1), MAX_AVOID_SECONDS)
     upstream.avoid_until = now + seconds
 
 
-def note_lost(upstream: ForwardedUpstream, now: float) -> None:
+def record_loss(upstream: ForwardedUpstream, now: float) -> None:
     """Note that an upstream does not answer at all, and tell the requests that pass it."""
-    note_failed(upstream, now)
+    record_failure(upstream, now)
     upstream.lost_at = now
     for callback in list(upstream.on_lost):
         callback(upstream)
 
 
-def note_ended(upstream: ForwardedUpstream, now: float) -> None:
+def record_exit(upstream: ForwardedUpstream, now: float) -> None:
     """Note that nobody listens at an upstream's address."""
-    upstream.ended_at = now
+    upstream.exited_at = now
 
 
-def note_told_lost(upstream: ForwardedUpstream, now: float) -> bool:
+def record_reported_loss(upstream: ForwardedUpstream, now: float) -> bool:
     """Note that other boxes found an upstream dead; it gets no new work until it is heard.
 
     Returns:
         False if that was known already.
     """
-    if upstream.lost_at > upstream.heard_at:
+    if upstream.lost_at > upstream.last_seen:
         return False
     upstream.lost_at = now
     return True
 
 
-def note_reachable(upstream: ForwardedUpstream) -> None:
+def record_reachable(upstream: ForwardedUpstream) -> None:
     """Note that an upstream which other boxes found dead answers this one."""
     upstream.lost_at = float("-inf")
 
 
-def note_full(upstream: ForwardedUpstream, now: float) -> None:
+def record_full(upstream: ForwardedUpstream, now: float) -> None:
     """Note that an upstream had no room."""
-    upstream.avoid_until = max(upstream.avoid_until, now + FULL_SECONDS)
+    upstream.avoid_until = max(upstream.avoid_until, now + FULL_AVOID_SECONDS)
 
 
-def note_load(upstream: ForwardedUpstream, load: UpstreamLoad | None, now: float) -> None:
+def record_load(upstream: ForwardedUpstream, load: UpstreamLoad | None, now: float) -> None:
     """Note the load that an upstream told in an answer."""
     if load is not None:
         upstream.load = load
         upstream.load_at = now
 
 
-def take_others(
+def apply_peer_load(
     upstream: ForwardedUpstream, in_flight: int, kv_reserved: float, now: float
 ) -> None:
     """Take in what the requests of all boxes, this one included, take on an upstream.
@@ -328,14 +330,14 @@
         kv_reserved: Their tokens x layers.
         now: Monotonic time.
     """
-    upstream.others_in_flight = max(0, in_flight - upstream.reported_in_flight)
-    upstream.others_kv = max(0.0, kv_reserved - upstream.reported_kv)
-    upstream.others_at = now
+    upstream.peer_in_flight = max(0, in_flight - upstream.reported_in_flight)
+    upstream.peer_kv = max(0.0, kv_reserved - upstream.reported_kv)
+    upstream.peer_load_at = now
 
 
-def knows_others(upstream: ForwardedUpstream, now: float) -> bool:
+def has_recent_peer_load(upstream: ForwardedUpstream, now: float) -> bool:
     """Tell whether the load of other boxes was told lately."""
-    return now - upstream.others_at < LOAD_BELIEVED_SECONDS
+    return now - upstream.peer_load_at < LOAD_BELIEVED_SECONDS
 
 
 def total_in_flight(upstream: ForwardedUpstream, now: float, sharers: float) -> float:
@@ -347,10 +349,10 @@
         sharers: Factor from the own requests to those of all boxes. It is used where nothing was
             told, and for what came since the own load was last reported.
     """
-    if not knows_others(upstream, now):
+    if not has_recent_peer_load(upstream, now):
         return upstream.in_flight * sharers
-    growth = _growth_of_others(upstream.in_flight - upstream.reported_in_flight, sharers)
-    return upstream.in_flight + upstream.others_in_flight + growth
+    growth = _peer_growth(upstream.in_flight - upstream.reported_in_flight, sharers)
+    return upstream.in_flight + upstream.peer_in_flight + growth
 
 
 def total_kv(upstream: ForwardedUpstream, now: float, sharers: float) -> float:
@@ -361,13 +363,13 @@
         now: Monotonic time.
         sharers: Factor from the own requests to those of all boxes, as for `total_in_flight`.
     """
-    if not knows_others(upstream, now):
+    if not has_recent_peer_load(upstream, now):
         return upstream.kv_reserved * sharers
-    growth = _growth_of_others(upstream.kv_reserved - upstream.reported_kv, sharers)
-    return upstream.kv_reserved + upstream.others_kv + growth
+    growth = _peer_growth(upstream.kv_reserved - upstream.reported_kv, sharers)
+    return upstream.kv_reserved + upstream.peer_kv + growth
 
 
-def _growth_of_others(own_growth: float, sharers: float) -> float:
+def _peer_growth(own_growth: float, sharers: float) -> float:
     """Estimate how much the load of other boxes grew since they were last heard of.
 
     They see the same upstreams and choose alike: when an engine is lost, all of them move their
@@ -376,7 +378,7 @@
     return max(0.0, own_growth) * max(0.0, sharers - 1.0)
 
 
-def pressure(upstream: ForwardedUpstream, now: float, sharers: int) -> float:
+def utilization(upstream: ForwardedUpstream, now: float, sharers: int) -> float:
     """Estimate how full a plain service is, in requests per slot.
 
     Args:
@@ -385,63 +387,66 @@
         sharers: Entry boxes. Where their load was not told lately and there are others, the own
             requests count one and a half times.
     """
-    return held_requests(upstream, now, sharers) / max(1, upstream.registration.slots)
+    return estimated_requests(upstream, now, sharers) / max(1, upstream.registration.slots)
 
 
-def held_requests(upstream: ForwardedUpstream, now: float, sharers: int) -> float:
+def estimated_requests(upstream: ForwardedUpstream, now: float, sharers: int) -> float:
     """Estimate the requests that a plain service holds, those that wait included.
 
     Args:
         upstream: The service.
         now: Monotonic time.
-        sharers: Entry boxes, as for `pressure`.
+        sharers: Entry boxes, as for `utilization`.
     """
     estimate = total_in_flight(upstream, now, 1.5 if sharers > 1 else 1.0)
     load = upstream.load
-    if load is not None and now - upstream.load_at < TOLD_LOAD_SECONDS:
+    if load is not None and now - upstream.load_at < REPORTED_LOAD_VALID_SECONDS:
         estimate = max(estimate, load.running + load.waiting)
     return estimate
 
 
-def is_at_most(upstream: ForwardedUpstream, now: float, sharers: int) -> bool:
+def is_at_max_requests(upstream: ForwardedUpstream, now: float, sharers: int) -> bool:
     """Tell whether a plain service holds as much as it may, since more had it ask for rest."""
-    wishes = upstream.wishes
-    return now < wishes.most_until and held_requests(upstream, now, sharers) >= wishes.most
+    backpressure = upstream.backpressure
+    return (
+        now < backpressure.most_until
+        and estimated_requests(upstream, now, sharers) >= backpressure.most
+    )
 
 
-def is_resting(upstream: ForwardedUpstream, now: float) -> bool:
+def is_backing_off(upstream: ForwardedUpstream, now: float) -> bool:
     """Tell whether an upstream wants nothing from this box right now."""
-    return now < upstream.wishes.rest_until
+    return now < upstream.backpressure.rest_until
 
 
-def takes_work(upstream: ForwardedUpstream, now: float) -> bool:
+def accepts_work(upstream: ForwardedUpstream, now: float) -> bool:
     """Tell whether an upstream has not said that it wants no new work, now or for good."""
-    if upstream.leaving or is_resting(upstream, now):
+    if upstream.draining or is_backing_off(upstream, now):
         return False
     return has_grant(upstream.limit, now)
 
 
-def wait_left(upstream: ForwardedUpstream, now: float) -> float:
+def remaining_wait(upstream: ForwardedUpstream, now: float) -> float:
     """Return when an upstream that does not leave wants work again, in seconds; 0 if it does."""
-    rest = upstream.wishes.rest_until - now
+    rest = upstream.backpressure.rest_until - now
     return max(0.0, rest, grant_wait(upstream.limit, now))
 
 
-def first_wait(upstreams: Iterable[ForwardedUpstream], now: float) -> float | None:
+def min_remaining_wait(upstreams: Iterable[ForwardedUpstream], now: float) -> float | None:
     """Return when the first of some upstreams wants work again, in seconds.
 
     Returns:
         None if one of them wants some, or there are none. Those that leave count for nothing.
     """
-    waits = [wait_left(item, now) for item in upstreams if not item.leaving]
+    waits = [remaining_wait(item, now) for item in upstreams if not item.draining]
     return min(waits) if waits and min(waits) > 0 else None
 
 
 def is_usable(upstream: ForwardedUpstream, now: float) -> bool:
     """Tell whether an upstream may get new work right now."""
-    if not takes_work(upstream, now) or now < upstream.avoid_until:
+    if not accepts_work(upstream, now) or now < upstream.avoid_until:
         return False
-    return upstream.heard_at > upstream.lost_at + HEARD_MARGIN_SECONDS
+    return upstream.last_seen > upstream.lost_at + LAST_SEEN_MARGIN_SECONDS
 
 
 def has_alternative(
@@ -476,12 +481,12 @@
     return len(held) >= layers
 
 
-def is_silent(upstream: ForwardedUpstream, now: float) -> bool:
+def is_inactive(upstream: ForwardedUpstream, now: float) -> bool:
     """Tell whether nobody has heard an upstream for so long that it is likely lost."""
-    return now - upstream.heard_at > SILENT_SECONDS
+    return now - upstream.last_seen > INACTIVE_SECONDS
 
 
 def slow_factor(upstream: ForwardedUpstream, now: float) -> float:
     """Return how many times slower than usual an engine is likely to work; at least 1."""
-    is_believed = now - upstream.slowdown_at < SLOWDOWN_BELIEVED_SECONDS
+    is_believed = now - upstream.slowdown_at < SLOWDOWN_VALID_SECONDS
     return max(1.0, upstream.slowdown) if is_believed else 1.0
--- a/src/ledgeladder/routing/path_costs.py
+++ b/src/ledgeladder/routing/path_costs.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .forwarding_table import is_silent, slow_factor, total_in_flight, total_kv
+from .forwarding_table import is_inactive, slow_factor, total_in_flight, total_kv
 from .layer_coverage import kv_capacity
 from .link_load import NEW_REQUEST_LIMIT, link_between, transfer_seconds
 
@@ -145,7 +145,7 @@
     seconds = _seconds_per_layer(profile, card, request, running) * factor
     seconds *= slow_factor(engine, now)
     is_used = engine.in_flight > 0 or engine.registration.instance in request.previous_instances
-    if is_used and now - engine.proven_at > request.stalled_after:
+    if is_used and now - engine.last_success_at > request.stalled_after:
         seconds *= STALLED_COST_FACTOR
     slots = slot_limit(engine)
     if running > slots * request.full_fraction:
@@ -156,7 +156,7 @@
     fitting = _layers_that_fit(profile, capacity * request.full_fraction - used_kv, tokens)
     if fitting < 1:
         return []
-    fixed = INACTIVE_PENALTY_SECONDS if penalize_inactive and is_silent(engine, now) else 0.0
+    fixed = INACTIVE_PENALTY_SECONDS if penalize_inactive and is_inactive(engine, now) else 0.0
     offers = []
     for holding in engine.registration.holdings:
         used = min(holding.end - holding.first, fitting)
--- a/src/ledgeladder/routing/paths.py
+++ b/src/ledgeladder/routing/paths.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from ..model.exchange import PathPart
-from .forwarding_table import is_resting, is_silent, is_usable, wait_left
+from .forwarding_table import is_backing_off, is_inactive, is_usable, remaining_wait
 from .path_costs import INACTIVE_PENALTY_SECONDS, engine_offers
 from .path_search import cheapest_steps
 from .rate_grants import has_grant
@@ -105,7 +105,7 @@
         and is_usable(engine, now)
     ]
     # If all engines are inactive, this box is likely cut off from the control boxes instead.
-    penalize_inactive = not all(is_silent(item, now) for item in usable)
+    penalize_inactive = not all(is_inactive(item, now) for item in usable)
     members: dict[str, list[ForwardedUpstream]] = {}
     for item in usable:
         members.setdefault(item.registration.failure_domain, []).append(item)
@@ -215,7 +215,7 @@
     newest: dict[str, ForwardedUpstream] = {}
     for engine in engines:
         known = newest.get(engine.registration.address)
-        if known is None or engine.began_at > known.began_at:
+        if known is None or engine.started_at > known.started_at:
             newest[engine.registration.address] = engine
     return newest.values()
 
@@ -282,7 +282,7 @@
         reasons[reason or "usable"] += 1
         if reason not in ("", BACKING_OFF, RATE_LIMITED):
             continue
-        wait = wait_left(engine, now)
+        wait = remaining_wait(engine, now)
         for item in engine.registration.holdings:
             for layer in range(item.first, min(item.end, profile.layers)):
                 available_in[layer] = min(available_in[layer], wait)
@@ -308,16 +308,16 @@
     registration = engine.registration
     if not registration.holdings:
         return "without layers"
-    if engine.leaving:
+    if engine.draining:
         return "leaving"
-    if is_resting(engine, now):
+    if is_backing_off(engine, now):
         return BACKING_OFF
     if not has_grant(engine.limit, now):
         return RATE_LIMITED
     if registration.instance in excluded:
         return "failed this request"
     if not is_usable(engine, now):
-        return "lost" if engine.lost_at > engine.heard_at else "avoided"
+        return "lost" if engine.lost_at > engine.last_seen else "avoided"
     return "" if engine_offers(profile, engine, request, now) else NO_CAPACITY
 
 
--- a/src/ledgeladder/routing/service_choice.py
+++ b/src/ledgeladder/routing/service_choice.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from .forwarding_table import is_at_most, is_silent, is_usable, pressure, takes_work
+from .forwarding_table import accepts_work, is_at_max_requests, is_inactive, is_usable, utilization
 
 if TYPE_CHECKING:
     import random
@@ -54,9 +54,9 @@
     candidates = [
         item
         for item in pool
-        if takes_work(item, now)
+        if accepts_work(item, now)
         and item.registration.instance not in tried
-        and not is_at_most(item, now, sharers)
+        and not is_at_max_requests(item, now, sharers)
     ]
     usable = [item for item in candidates if is_usable(item, now)] or candidates
 
@@ -64,7 +64,7 @@
         remote = (
             REMOTE_DOMAIN_PENALTY if item.registration.failure_domain != failure_domain else 0.0
         )
-        inactive = INACTIVE_PENALTY if is_silent(item, now) else 0.0
-        return pressure(item, now, sharers) + remote + inactive + rng.random() * JITTER
+        inactive = INACTIVE_PENALTY if is_inactive(item, now) else 0.0
+        return utilization(item, now, sharers) + remote + inactive + rng.random() * JITTER
 
     return min(usable, key=weight, default=None)
--- a/tests/daemons/gateway/test_backpressure.py
+++ b/tests/daemons/gateway/test_backpressure.py
@@ -18,7 +18,7 @@
 from ledgeladder.daemons.gateway.upstream_call import BackpressureError, open_answer
 from ledgeladder.model.exchange import AnswerFacts
 from ledgeladder.platform.exchange import read_answer_facts
-from ledgeladder.routing.forwarding_table import ForwardedUpstream, is_resting
+from ledgeladder.routing.forwarding_table import ForwardedUpstream, is_backing_off
 
 from .builders import engine, gateway_state
 
@@ -46,7 +46,7 @@
         state, head, later = two_upstreams()
         handle_backpressure(state, PERMIT, head, facts(status, **fields), 0.0)
         now = anyio.current_time()
-        return [(is_resting(item, now), item.leaving) for item in (head, later)]
+        return [(is_backing_off(item, now), item.draining) for item in (head, later)]
 
     return anyio.run(play)
 
--- a/tests/daemons/gateway/test_control_link.py
+++ b/tests/daemons/gateway/test_control_link.py
@@ -85,7 +85,7 @@
         previous.on_lost.add(lambda engine: interrupted.append(engine.registration.instance))
         control_link.apply_registrations(state, (registered(2000),))
         assert interrupted == ["i-1#1000"]
-        assert previous.ended_at > 0.0
+        assert previous.exited_at > 0.0
         (current,) = state.table.pools["p"]
         assert current.registration.instance == "i-1#2000"
         assert current.in_flight == 0
--- a/tests/daemons/gateway/test_crashes.py
+++ b/tests/daemons/gateway/test_crashes.py
@@ -48,7 +48,7 @@
 ) -> None:
     upstream = engine(instance)
     if exited:
-        upstream.ended_at = anyio.current_time()
+        upstream.exited_at = anyio.current_time()
     started_at = anyio.current_time() - 0.1
     record_crash(state, PERMIT, request(body), RequestTrace(), [upstream], started_at)
 
@@ -93,8 +93,8 @@
     async def play() -> None:
         state = gateway_state()
         upstream = engine("i-1")
-        upstream.ended_at = anyio.current_time()
-        started_at = upstream.ended_at + 1.0
+        upstream.exited_at = anyio.current_time()
+        started_at = upstream.exited_at + 1.0
         record_crash(state, PERMIT, request(), RequestTrace(), [upstream], started_at)
         assert crash_count(state.quarantine.crashes, fingerprint()) == 0
 
--- a/tests/daemons/gateway/test_loss_updates.py
+++ b/tests/daemons/gateway/test_loss_updates.py
@@ -33,9 +33,9 @@
     """Handle a report, and return whether streams are affected."""
 
     async def run() -> bool:
-        known.heard_at = anyio.current_time() - 0.5
+        known.last_seen = anyio.current_time() - 0.5
         affected = handle_loss_update(state, "i-1")
-        assert not is_usable(known, anyio.current_time()) or known.proven_at > known.heard_at
+        assert not is_usable(known, anyio.current_time()) or known.last_success_at > known.last_seen
         return affected is not None
 
     return anyio.run(run)
@@ -44,8 +44,8 @@
 def test_unreachable_engine_gets_no_new_work_until_its_next_heartbeat() -> None:
     state, known = known_engine()
     assert not handle(state, known)
-    known.heard_at = known.lost_at + 1.0
-    assert is_usable(known, known.heard_at + 1.0)
+    known.last_seen = known.lost_at + 1.0
+    assert is_usable(known, known.last_seen + 1.0)
 
 
 def test_recent_progress_outweighs_a_report_of_others() -> None:
@@ -53,7 +53,7 @@
     known.on_lost.add(lambda _engine: None)
 
     async def run() -> None:
-        known.proven_at = anyio.current_time()
+        known.last_success_at = anyio.current_time()
         assert handle_loss_update(state, "i-1") is None
         assert is_usable(known, anyio.current_time())
 
--- a/tests/daemons/gateway/test_probing.py
+++ b/tests/daemons/gateway/test_probing.py
@@ -109,8 +109,8 @@
     dead: set[str] = set()
 
     async def run() -> bool:
-        working.proven_at = anyio.current_time()
-        inactive.proven_at = working.proven_at - probing.LIVENESS_SECONDS * 2
+        working.last_success_at = anyio.current_time()
+        inactive.last_success_at = working.last_success_at - probing.LIVENESS_SECONDS * 2
         return await find_unreachable(state, path.engines, dead)
 
     assert anyio.run(run)
--- a/tests/daemons/gateway/test_rate_limits.py
+++ b/tests/daemons/gateway/test_rate_limits.py
@@ -20,8 +20,8 @@
 from ledgeladder.platform.exchange import read_answer_facts
 from ledgeladder.routing.forwarding_table import (
     ForwardedUpstream,
+    accepts_work,
     put_registration,
-    takes_work,
 )
 from ledgeladder.routing.rate_grants import any_limited
 
@@ -85,7 +85,7 @@
         handle_answer(state, upstream, 0.0, server_limit=limit)
         limit_state = upstream.limit
         assert (None if limit_state is None else limit_state.limit.rate) == rate
-        assert takes_work(upstream, anyio.current_time()) is (rate is None)
+        assert accepts_work(upstream, anyio.current_time()) is (rate is None)
         assert any_limited([upstream.limit], anyio.current_time()) is (rate is not None)
 
     anyio.run(play)
@@ -130,7 +130,7 @@
         apply_limits(limit_keeper_of(state), {"i-9": NAMED})
         known = put_registration(state.table, engine("i-9", "127.0.0.1:9").registration, 0.0)
         assert known is not None
-        assert not takes_work(known, anyio.current_time())
+        assert not accepts_work(known, anyio.current_time())
         apply_limits(
             limit_keeper_of(state),
             {"i-9": ReportedLimit(rate=2.0, advertised_age=9.0, withdrawn_age=0.0)},
@@ -175,8 +175,8 @@
         await run_keeper(state, 0.05)
         call = next(request.call for box in boxes for request in box.requests)
         handle_grant_reply(limit_keeper_of(state), reply(call, 1))
-        assert takes_work(upstream, anyio.current_time())
-        assert not takes_work(upstream, state.table.limits.asked_at + GRANT_TTL_SECONDS)
+        assert accepts_work(upstream, anyio.current_time())
+        assert not accepts_work(upstream, state.table.limits.asked_at + GRANT_TTL_SECONDS)
         # A duplicate reply, or one to an unknown request, grants nothing.
         handle_grant_reply(limit_keeper_of(state), reply(call, 1))
         handle_grant_reply(limit_keeper_of(state), reply(99, 1))
@@ -199,7 +199,7 @@
         call = boxes[0].requests[0].call
         limit_keeper_of(state).requested_at[call] -= GRANT_TTL_SECONDS
         handle_grant_reply(limit_keeper_of(state), reply(call, 1))
-        assert not takes_work(upstream, anyio.current_time())
+        assert not accepts_work(upstream, anyio.current_time())
 
     anyio.run(play)
 
@@ -210,7 +210,7 @@
         handle_answer(state, upstream, 0.0, server_limit="2")
         request_grants(state, "")
         await run_keeper(state, 0.05)
-        assert not takes_work(upstream, anyio.current_time())
+        assert not accepts_work(upstream, anyio.current_time())
 
     anyio.run(play)
 
--- a/tests/daemons/gateway/test_stream_attempt.py
+++ b/tests/daemons/gateway/test_stream_attempt.py
@@ -24,7 +24,7 @@
 from ledgeladder.links import tcp
 from ledgeladder.links.messages import LostReport
 from ledgeladder.routing.event_stream import EventOrder
-from ledgeladder.routing.forwarding_table import FULL_SECONDS, is_usable, note_lost
+from ledgeladder.routing.forwarding_table import FULL_AVOID_SECONDS, is_usable, record_loss
 from ledgeladder.routing.stream_patience import stream_patience
 
 from .builders import engine, gateway_state, path_over
@@ -46,7 +46,7 @@
     async def run() -> None:
         nonlocal continued
         with anyio.CancelScope() as scope, _cancel_on_loss(path, session, scope):
-            note_lost(lost, 1.0)
+            record_loss(lost, 1.0)
             await anyio.sleep(0)
             continued = True
 
@@ -94,7 +94,7 @@
     answer = SimpleNamespace(head=head)
 
     async def read_during_loss(*_: object) -> bytes:
-        note_lost(lost, 1.0)
+        record_loss(lost, 1.0)
         return b"id: 1\ndata: a\n\n"
 
     monkeypatch.setattr(stream_events, "read_watched", read_during_loss)
@@ -139,7 +139,7 @@
 
     async def run() -> bool:
         await _evaluate_refusal(gateway_state(), session, path, suspect)
-        after = anyio.current_time() + 2 * FULL_SECONDS
+        after = anyio.current_time() + 2 * FULL_AVOID_SECONDS
         return is_usable(suspect, after)
 
     assert anyio.run(run) is not is_lost
@@ -167,9 +167,9 @@
     async def run() -> None:
         now = anyio.current_time()
         for item in path.engines:
-            item.proven_at = now
+            item.last_success_at = now
         await _identify_failed_engines(gateway_state(), session, path)
-        assert (path.head.ended_at >= now) is has_exited
+        assert (path.head.exited_at >= now) is has_exited
 
     anyio.run(run)
     assert session.dead == ({"i-1"} if has_exited else set())
@@ -179,8 +179,8 @@
 def test_engine_that_exited_before_an_attempt_does_not_count_as_reached() -> None:
     """A request must not be blamed for the crash of an engine that died before the attempt."""
     path = path_over(engine("i-1"), engine("i-2"), engine("i-3"))
-    path.engines[1].proven_at = 4.9
-    path.engines[2].proven_at = 5.1
+    path.engines[1].last_success_at = 4.9
+    path.engines[2].last_success_at = 5.1
     reached = _reached_engines(path, 5.0)
     assert [item.registration.instance for item in reached] == ["i-1", "i-3"]
 
--- a/tests/daemons/gateway/test_waiting.py
+++ b/tests/daemons/gateway/test_waiting.py
@@ -34,7 +34,7 @@
     TrafficConfiguration,
     UpstreamPool,
 )
-from ledgeladder.routing.forwarding_table import put_registration, takes_work
+from ledgeladder.routing.forwarding_table import accepts_work, put_registration
 from ledgeladder.routing.route_index import build_index
 
 from ...routing.sample_site import PROFILE
@@ -225,7 +225,7 @@
     )
     service = put_registration(state.table, registration, now)
     assert service is not None
-    service.wishes.rest_until = now + seconds
+    service.backpressure.rest_until = now + seconds
     return service
 
 
@@ -256,7 +256,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(run_queue, state.upstream_queue)
             assert await wait(state, permit(5.0), 0.1)
-            assert takes_work(service, anyio.current_time())
+            assert accepts_work(service, anyio.current_time())
             tasks.cancel_scope.cancel()
         assert not state.upstream_queue.queue.waiting
         assert not state.upstream_queue.admissions
@@ -331,7 +331,7 @@
                 holdings=(Holding(first=first, end=end),),
             )
             put_registration(state.table, registration, now)
-        state.table.upstreams["a"].wishes.rest_until = now + 0.1
+        state.table.upstreams["a"].backpressure.rest_until = now + 0.1
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(run_queue, state.upstream_queue)
             assert await wait(state, permit(5.0, pool=POOL), 0.1)
--- a/tests/daemons/test_resting_engines.py
+++ b/tests/daemons/test_resting_engines.py
@@ -14,7 +14,7 @@
 from ledgeladder.daemons.registry import order_sending
 from ledgeladder.http1 import serve_http1
 from ledgeladder.model.registration import Holding, Registration
-from ledgeladder.routing.forwarding_table import is_resting
+from ledgeladder.routing.forwarding_table import is_backing_off
 from standins.registered_upstream import StandIn, build_site
 
 from .gateway import builders
@@ -80,7 +80,7 @@
             for _ in range(3):
                 asked.slowdown_at = float("-inf")
                 await query_slowdowns(state, builders.path_over(asked))
-            assert is_resting(asked, anyio.current_time())
+            assert is_backing_off(asked, anyio.current_time())
             tasks.cancel_scope.cancel()
 
     anyio.run(play)
--- a/tests/routing/fleet_simulation.py
+++ b/tests/routing/fleet_simulation.py
@@ -15,7 +15,7 @@
 
 from ledgeladder.model.registration import Registration
 from ledgeladder.model.traffic import CardKind
-from ledgeladder.routing.forwarding_table import ForwardedUpstream, note_full, take_others
+from ledgeladder.routing.forwarding_table import ForwardedUpstream, apply_peer_load, record_full
 from ledgeladder.routing.layer_coverage import kv_capacity
 from ledgeladder.routing.load_sharing import load_interval
 from ledgeladder.routing.path_costs import PathRequest
@@ -197,7 +197,7 @@
             SimulatedBox(
                 failure_domain=self.domains[number % len(self.domains)],
                 engines={
-                    name: ForwardedUpstream(registration=engine.registration, heard_at=1e9)
+                    name: ForwardedUpstream(registration=engine.registration, last_seen=1e9)
                     for name, engine in self.engines.items()
                 },
                 rng=random.Random(seed * 1000 + number),
@@ -232,7 +232,7 @@
                 sums[0] += reported[0] - before[0]
                 sums[1] += reported[1] - before[1]
                 box.reported[name] = reported
-            take_others(view, int(sums[0]), sums[1], self.now)
+            apply_peer_load(view, int(sums[0]), sums[1], self.now)
         self.at(self.now + self.interval, lambda: self.exchange_loads(box))
 
     def start_stream(self) -> None:
@@ -250,7 +250,7 @@
                 return
             self.outcome.refusals += 1
             excluded.add(refusing)
-            note_full(box.engines[refusing], self.now)
+            record_full(box.engines[refusing], self.now)
         self.outcome.gave_up += 1
 
     def choose(self, box: SimulatedBox, excluded: set[str]) -> ChosenPath | None:
--- a/tests/routing/rest_bed.py
+++ b/tests/routing/rest_bed.py
@@ -17,12 +17,12 @@
 from ledgeladder.model.registration import Registration
 from ledgeladder.routing.forwarding_table import (
     ForwardedUpstream,
-    first_wait,
-    held_requests,
-    note_full,
-    note_load,
-    note_served,
-    take_others,
+    apply_peer_load,
+    estimated_requests,
+    min_remaining_wait,
+    record_full,
+    record_load,
+    record_success,
 )
 from ledgeladder.routing.load_sharing import load_interval
 from ledgeladder.routing.service_choice import choose_service
@@ -144,7 +144,7 @@
             total = sum(pool[item.number].in_flight for pool in self.views)
             for pool in self.views:
                 pool[item.number].reported_in_flight = pool[item.number].in_flight
-                take_others(pool[item.number], total, 0.0, self.now)
+                apply_peer_load(pool[item.number], total, 0.0, self.now)
 
     def view_of_all(self) -> list[ForwardedUpstream]:
         """Return what one box knows of the services."""
@@ -157,7 +157,7 @@
                     failure_domain=item.domain,
                     slots=SLOTS,
                 ),
-                heard_at=float("inf"),
+                last_seen=float("inf"),
             )
             for item in self.services
         ]
@@ -184,7 +184,7 @@
             rng=self.rng,
         )
         if chosen is None:
-            self.refuse(request, first_wait(pool, self.now))
+            self.refuse(request, min_remaining_wait(pool, self.now))
             return
         request.tried.add(chosen.registration.instance)
         chosen.in_flight += 1
@@ -232,7 +232,7 @@
     def answer(self, view: ForwardedUpstream, service: Service, request: Request) -> None:
         """Take in a good answer."""
         view.in_flight -= 1
-        note_served(view)
+        record_success(view)
         self.take_load(view, service)
         self.outcome.served += 1
         self.outcome.seconds += self.now - request.arrived_at
@@ -242,18 +242,20 @@
     ) -> None:
         """Take in a refusal, and send the request on."""
         view.in_flight -= 1
-        note_full(view, self.now)
+        record_full(view, self.now)
         self.take_load(view, service)
         if self.obeys:
             if self.bounds:
-                held = held_requests(view, self.now, len(self.views))
-                note_fullness(view.wishes, held, SLOTS, self.rest_seconds, self.now)
-            ask_rest(self.books[box], view.registration, view.wishes, self.rest_seconds, self.now)
+                held = estimated_requests(view, self.now, len(self.views))
+                note_fullness(view.backpressure, held, SLOTS, self.rest_seconds, self.now)
+            ask_rest(
+                self.books[box], view.registration, view.backpressure, self.rest_seconds, self.now
+            )
         self.send(box, request)
 
     def take_load(self, view: ForwardedUpstream, service: Service) -> None:
         load = UpstreamLoad(running=service.running, waiting=len(service.waiting), slots=SLOTS)
-        note_load(view, load, self.now)
+        record_load(view, load, self.now)
 
     def refuse(self, request: Request, rest: float | None) -> None:
         """Tell a caller to come back, which it does once, to any box, if it has the time."""
--- a/tests/routing/test_forwarding.py
+++ b/tests/routing/test_forwarding.py
@@ -16,15 +16,15 @@
 )
 from ledgeladder.routing.event_stream import EventBuffer, EventOrder, accept_event, take_events
 from ledgeladder.routing.forwarding_table import (
-    DomainDoubts,
     ForwardedUpstream,
-    doubt_domain,
+    SuspectedDomains,
     has_alternative,
-    is_doubtful,
+    is_suspected,
     is_usable,
-    note_failed,
-    note_lost,
-    note_served,
+    record_domain_failure,
+    record_failure,
+    record_loss,
+    record_success,
 )
 from ledgeladder.routing.repeat_window import RepeatWindow, note_first, take_repeat
 from ledgeladder.routing.route_index import build_index, choose_pool, find_route
@@ -101,32 +101,32 @@
 
 
 def test_one_failure_of_many_requests_counts_once_and_is_forgiven() -> None:
-    upstream = ForwardedUpstream(registration=Registration(instance="i", sequence=1), heard_at=0.0)
+    upstream = ForwardedUpstream(registration=Registration(instance="i", sequence=1), last_seen=0.0)
     for _ in range(20):
-        note_failed(upstream, 1.0)
+        record_failure(upstream, 1.0)
     assert upstream.failures == 1
     assert not is_usable(upstream, 1.5)
     assert is_usable(upstream, 2.1)
-    note_failed(upstream, 2.1)
+    record_failure(upstream, 2.1)
     assert not is_usable(upstream, 4.0)
-    note_served(upstream)
+    record_success(upstream)
     assert is_usable(upstream, 4.0)
 
 
 def test_doubt_needs_two_upstreams_and_passes() -> None:
-    doubts = DomainDoubts()
+    doubts = SuspectedDomains()
 
     def upstream(name: str) -> ForwardedUpstream:
         registration = Registration(instance=name, sequence=1, failure_domain="b")
-        return ForwardedUpstream(registration=registration, heard_at=0.0)
+        return ForwardedUpstream(registration=registration, last_seen=0.0)
 
-    doubt_domain(doubts, upstream("one"), 1.0)
-    doubt_domain(doubts, upstream("one"), 1.1)
-    assert not is_doubtful(doubts, "b", 1.2)
-    doubt_domain(doubts, upstream("two"), 1.2)
-    assert is_doubtful(doubts, "b", 1.3)
-    assert not is_doubtful(doubts, "a", 1.3)
-    assert not is_doubtful(doubts, "b", 2.5)
+    record_domain_failure(doubts, upstream("one"), 1.0)
+    record_domain_failure(doubts, upstream("one"), 1.1)
+    assert not is_suspected(doubts, "b", 1.2)
+    record_domain_failure(doubts, upstream("two"), 1.2)
+    assert is_suspected(doubts, "b", 1.3)
+    assert not is_suspected(doubts, "a", 1.3)
+    assert not is_suspected(doubts, "b", 2.5)
 
 
 def test_broken_event_never_passes_however_the_bytes_are_cut() -> None:
@@ -164,12 +164,12 @@
     def upstream(name: str, address: str, *, leaving: bool = False) -> ForwardedUpstream:
         state = UpstreamState.LEAVING if leaving else UpstreamState.READY
         registration = Registration(instance=name, sequence=1, address=address, state=state)
-        return ForwardedUpstream(registration=registration, heard_at=0.0)
+        return ForwardedUpstream(registration=registration, last_seen=0.0)
 
     own, older = upstream("own", "a:1"), upstream("older", "a:1")
     leaving, avoided = upstream("leaving", "b:1", leaving=True), upstream("avoided", "c:1")
     tried, good = upstream("tried", "d:1"), upstream("good", "e:1")
-    note_failed(avoided, 1.0)
+    record_failure(avoided, 1.0)
     pool = [own, older, leaving, avoided, tried]
     assert not has_alternative(pool, own, {"own", "tried"}, 1.5)
     assert has_alternative([*pool, good], own, {"own", "tried"}, 1.5)
@@ -189,20 +189,20 @@
 def test_dead_upstream_gets_no_work_until_it_is_heard_again() -> None:
     """Its registration stays for some seconds; trying it each second cost a refusal each time."""
     upstream = ForwardedUpstream(
-        registration=Registration(instance="i-1", sequence=1), heard_at=9.5
+        registration=Registration(instance="i-1", sequence=1), last_seen=9.5
     )
-    note_lost(upstream, 10.0)
+    record_loss(upstream, 10.0)
     assert not is_usable(upstream, 60.0)
-    upstream.heard_at = 10.02
+    upstream.last_seen = 10.02
     assert not is_usable(upstream, 60.0)
-    upstream.heard_at = 11.2
+    upstream.last_seen = 11.2
     assert is_usable(upstream, 11.3)
 
 
 def test_dead_upstream_that_serves_all_the_same_is_used_again() -> None:
     upstream = ForwardedUpstream(
-        registration=Registration(instance="i-1", sequence=1), heard_at=9.5
+        registration=Registration(instance="i-1", sequence=1), last_seen=9.5
     )
-    note_lost(upstream, 10.0)
-    note_served(upstream)
+    record_loss(upstream, 10.0)
+    record_success(upstream)
     assert is_usable(upstream, 10.1)
--- a/tests/routing/test_paths.py
+++ b/tests/routing/test_paths.py
@@ -10,15 +10,15 @@
 
 from ledgeladder.model.registration import Holding, Registration, UpstreamState
 from ledgeladder.routing.forwarding_table import (
-    SLOWDOWN_BELIEVED_SECONDS,
+    SLOWDOWN_VALID_SECONDS,
     ForwardedUpstream,
     ForwardingTable,
-    is_resting,
-    note_failed,
-    note_full,
-    note_lost,
+    apply_peer_load,
+    is_backing_off,
     put_registration,
-    take_others,
+    record_failure,
+    record_full,
+    record_loss,
     total_in_flight,
     total_kv,
 )
@@ -56,7 +56,7 @@
             card=item.card,
             holdings=(item.holding,),
         )
-        made.append(ForwardedUpstream(registration=registration, heard_at=now))
+        made.append(ForwardedUpstream(registration=registration, last_seen=now))
     return made
 
 
@@ -70,7 +70,7 @@
     pool = make_engines()
     lost = rng.sample(pool, rng.randrange(0, 20))
     for engine in lost:
-        note_failed(engine, 0.0)
+        record_failure(engine, 0.0)
     path = choose_path(PROFILE, pool, make_request(rng.choice("abc")), 0.1)
     usable = [engine for engine in pool if engine not in lost]
     covered = {
@@ -143,7 +143,7 @@
 def test_full_engine_is_retried_after_short_time() -> None:
     pool = make_engines()
     for engine in pool:
-        note_full(engine, 0.0)
+        record_full(engine, 0.0)
     assert choose_path(PROFILE, pool, make_request(), 0.1) is None
     assert choose_path(PROFILE, pool, make_request(), 0.3) is not None
 
@@ -162,11 +162,11 @@
     old = pool[0]
     restarted = ForwardedUpstream(
         registration=msgspec.structs.replace(old.registration, instance="restarted"),
-        heard_at=5.0,
-        began_at=5.0,
+        last_seen=5.0,
+        started_at=5.0,
     )
     # A delayed heartbeat of the old instance arrives.
-    old.heard_at = 5.05
+    old.last_seen = 5.05
     path = choose_path(PROFILE, [*pool, restarted], make_request(), 5.1)
     assert path is not None
     addresses = [part.address for part in path.parts]
@@ -178,8 +178,8 @@
     pool = make_engines()
     for engine in pool:
         if engine.registration.holdings[0].first == 0:
-            note_lost(engine, 1.0)
-    note_full(pool[-1], 1.0)
+            record_loss(engine, 1.0)
+    record_full(pool[-1], 1.0)
     why = explain_no_path(
         PROFILE, pool, make_request(), 2.5, excluded={pool[-2].registration.instance}
     )
@@ -196,7 +196,7 @@
     """When a fast engine is lost, every box moves its requests at the same time."""
     pool = make_engines()
     lost = next(item for item in pool if item.registration.instance == "b-fast-0")
-    note_lost(lost, 1.0)
+    record_loss(lost, 1.0)
     rng = random.Random(7)
     chosen = [choose_path(PROFILE, pool, make_request("b"), 2.5, rng=rng) for _ in range(40)]
     usage = Counter(part.instance for path in chosen if path for part in path.parts)
@@ -207,7 +207,7 @@
 
 def test_other_boxes_are_assumed_to_grow_like_this_one_since_last_report() -> None:
     engine = make_engines()[0]
-    take_others(engine, 10, 1000.0, 5.0)
+    apply_peer_load(engine, 10, 1000.0, 5.0)
     assert total_kv(engine, 5.1, 8.0) == 1000.0
     engine.in_flight, engine.kv_reserved = 2, 200.0
     assert total_kv(engine, 5.1, 8.0) == 1000.0 + 200.0 + 7 * 200.0
@@ -229,7 +229,7 @@
         card="fast",
         holdings=(holding,),
     )
-    return ForwardedUpstream(registration=registration, heard_at=0.0)
+    return ForwardedUpstream(registration=registration, last_seen=0.0)
 
 
 def inter_domain_hops(path: ChosenPath) -> list[tuple[str, str]]:
@@ -338,7 +338,7 @@
     assert after is not None
     assert slow not in after.engines
     # The report expires.
-    again = choose_path(PROFILE, pool, make_request("a"), 1.0 + SLOWDOWN_BELIEVED_SECONDS)
+    again = choose_path(PROFILE, pool, make_request("a"), 1.0 + SLOWDOWN_VALID_SECONDS)
     assert again is not None
     assert slow in again.engines
 
@@ -362,10 +362,10 @@
     """
     pool = make_engines(9.9)
     for item in pool:
-        item.proven_at = 9.99
+        item.last_success_at = 9.99
     stalled = [item for item in pool if item.registration.failure_domain == "a"][:3]
     for item in stalled:
-        item.proven_at, item.in_flight = 9.8, 2
+        item.last_success_at, item.in_flight = 9.8, 2
     request = msgspec.structs.replace(make_request(), stalled_after=0.1)
     path = choose_path(PROFILE, pool, request, 10.0)
     assert path is not None
@@ -399,10 +399,10 @@
     for engine in pool:
         if rng.random() < share:
             seconds = rng.uniform(1.0, 5.0)
-            ask_rest(table.book, engine.registration, engine.wishes, seconds, 0.0)
+            ask_rest(table.backpressure, engine.registration, engine.backpressure, seconds, 0.0)
     path = choose_path(PROFILE, pool, make_request(rng.choice("abc")), 0.5)
     if path is not None:
-        assert not any(is_resting(engine, 0.5) for engine in path.engines)
+        assert not any(is_backing_off(engine, 0.5) for engine in path.engines)
         return
     why = explain_no_path(PROFILE, pool, make_request(), 0.5)
     assert "resting" in str(why)
@@ -416,7 +416,7 @@
     table = ForwardingTable()
     for engine in pool:
         if engine.registration.holdings[0].first == 0:
-            note_lost(engine, 0.0)
+            record_loss(engine, 0.0)
         else:
-            ask_rest(table.book, engine.registration, engine.wishes, 3.0, 0.0)
+            ask_rest(table.backpressure, engine.registration, engine.backpressure, 3.0, 0.0)
     assert explain_no_path(PROFILE, pool, make_request(), 0.5).wait_seconds is None
--- a/tests/routing/test_rate_grants.py
+++ b/tests/routing/test_rate_grants.py
@@ -11,12 +11,12 @@
 from ledgeladder.routing.forwarding_table import (
     ForwardedUpstream,
     ForwardingTable,
+    accepts_work,
     drop_upstream,
-    first_wait,
     has_alternative,
+    min_remaining_wait,
     put_registration,
-    takes_work,
-    wait_left,
+    remaining_wait,
 )
 from ledgeladder.routing.rate_grants import (
     HeldLimit,
@@ -35,7 +35,7 @@
 
 def upstream(name: str, limit: HeldLimit | None = None) -> ForwardedUpstream:
     registration = Registration(instance=name, sequence=1, address=f"{name}:80", slots=6)
-    return ForwardedUpstream(registration=registration, heard_at=0.0, limit=limit)
+    return ForwardedUpstream(registration=registration, last_seen=0.0, limit=limit)
 
 
 def test_limited_upstream_gets_only_what_was_lent() -> None:
@@ -98,19 +98,19 @@
 def test_time_until_work_is_wanted_again_is_that_of_rest_or_limit() -> None:
     limited, free = upstream("l", held(0.5)), upstream("f")
     assert grant_wait(limited.limit, 1.0) == 2.0
-    assert first_wait([limited, free], 1.0) is None
-    assert first_wait([limited], 1.0) == 2.0
-    limited.wishes.rest_until = 11.0
-    assert wait_left(limited, 1.0) == 10.0
-    limited.wishes.rest_until = 0.0
+    assert min_remaining_wait([limited, free], 1.0) is None
+    assert min_remaining_wait([limited], 1.0) == 2.0
+    limited.backpressure.rest_until = 11.0
+    assert remaining_wait(limited, 1.0) == 10.0
+    limited.backpressure.rest_until = 0.0
     assert limited.limit is not None
     limited.limit.wait_until = 6.0
-    assert wait_left(limited, 1.0) == 5.0
+    assert remaining_wait(limited, 1.0) == 5.0
     add_grants(limited.limit, 1, 2.0)
-    assert wait_left(limited, 1.0) == 0.0
-    limited.wishes.leaving = True
-    assert not takes_work(limited, 1.0)
-    assert first_wait([limited], 1.0) is None
+    assert remaining_wait(limited, 1.0) == 0.0
+    limited.backpressure.leaving = True
+    assert not accepts_work(limited, 1.0)
+    assert min_remaining_wait([limited], 1.0) is None
 
 
 def registration(run: str, sequence: int = 1) -> Registration:
--- a/tests/routing/test_upstream_wishes.py
+++ b/tests/routing/test_upstream_wishes.py
@@ -10,15 +10,15 @@
 from ledgeladder.routing.forwarding_table import (
     ForwardedUpstream,
     ForwardingTable,
+    accepts_work,
     drop_upstream,
-    first_wait,
     has_alternative,
-    is_at_most,
-    is_resting,
+    is_at_max_requests,
+    is_backing_off,
     is_usable,
-    note_served,
+    min_remaining_wait,
     put_registration,
-    takes_work,
+    record_success,
 )
 from ledgeladder.routing.service_choice import choose_service
 from ledgeladder.routing.upstream_wishes import (
@@ -54,14 +54,14 @@
 
 
 def rest(table: ForwardingTable, upstream: ForwardedUpstream, seconds: float, now: float) -> bool:
-    return ask_rest(table.book, upstream.registration, upstream.wishes, seconds, now)
+    return ask_rest(table.backpressure, upstream.registration, upstream.backpressure, seconds, now)
 
 
 def test_upstream_rests_until_the_end_of_the_time_and_not_longer() -> None:
     table = ForwardingTable()
     upstream = known(table, registration())
     assert rest(table, upstream, 3.0, 10.0)
-    assert is_resting(upstream, 12.999)
+    assert is_backing_off(upstream, 12.999)
     assert not is_usable(upstream, 12.999)
     assert is_usable(upstream, 13.0)
 
@@ -72,7 +72,7 @@
     upstream = known(table, registration())
     rest(table, upstream, 3.0, 10.0)
     assert rest(table, upstream, second, 11.0) is (until > 13.0)
-    assert upstream.wishes.rest_until == until
+    assert upstream.backpressure.rest_until == until
 
 
 def test_no_time_is_no_rest() -> None:
@@ -87,7 +87,7 @@
     table = ForwardingTable()
     upstream = known(table, registration())
     rest(table, upstream, 3.0, 10.0)
-    note_served(upstream)
+    record_success(upstream)
     assert not is_usable(upstream, 11.0)
 
 
@@ -95,44 +95,44 @@
     table = ForwardingTable()
     upstream = known(table, registration())
     rest(table, upstream, 30.0, 10.0)
-    say_leaving(table.book, upstream.registration, upstream.wishes)
+    say_leaving(table.backpressure, upstream.registration, upstream.backpressure)
     drop_upstream(table, upstream.registration.instance)
     again = known(table, registration(sequence=20), 20.0)
-    assert is_resting(again, 20.0)
-    assert again.leaving
+    assert is_backing_off(again, 20.0)
+    assert again.draining
     assert again.registration.state is UpstreamState.READY
 
 
 def test_heartbeat_that_says_ready_ends_no_leaving() -> None:
     table = ForwardingTable()
     upstream = known(table, registration())
-    assert say_leaving(table.book, upstream.registration, upstream.wishes)
-    assert not say_leaving(table.book, upstream.registration, upstream.wishes)
-    assert known(table, registration(sequence=2), 1.0).leaving
-    assert not takes_work(upstream, 1.0)
+    assert say_leaving(table.backpressure, upstream.registration, upstream.backpressure)
+    assert not say_leaving(table.backpressure, upstream.registration, upstream.backpressure)
+    assert known(table, registration(sequence=2), 1.0).draining
+    assert not accepts_work(upstream, 1.0)
 
 
 def test_run_that_starts_anew_has_asked_for_nothing() -> None:
     table = ForwardingTable(heartbeat=HEARTBEAT)
     first = known(table, registration(start=1), 0.0)
     rest(table, first, 60.0, 10.0)
-    say_leaving(table.book, first.registration, first.wishes)
+    say_leaving(table.backpressure, first.registration, first.backpressure)
     drop_upstream(table, first.registration.instance)
     second = known(table, registration(start=2), 10.5)
-    assert takes_work(second, 10.5)
+    assert accepts_work(second, 10.5)
 
 
 def test_rest_that_a_new_run_asked_for_before_it_was_known_counts_for_it() -> None:
     """A new run answers at the address, under the id, before its first heartbeat arrives."""
     table = ForwardingTable(heartbeat=HEARTBEAT)
     first = known(table, registration(start=1), 0.0)
-    say_leaving(table.book, first.registration, first.wishes)
+    say_leaving(table.backpressure, first.registration, first.backpressure)
     rest(table, first, 5.0, 10.0)
     drop_upstream(table, first.registration.instance)
     # Its third message came at 11.5, so that it began about two intervals before.
     second = known(table, registration(start=2, sequence=3), 11.5)
-    assert is_resting(second, 14.9)
-    assert not second.leaving
+    assert is_backing_off(second, 14.9)
+    assert not second.draining
 
 
 def test_remembered_wishes_are_bounded() -> None:
@@ -149,12 +149,12 @@
     upstreams = [known(table, registration(f"s-{number}")) for number in range(3)]
     rest(table, upstreams[0], 3.0, 10.0)
     rest(table, upstreams[1], 2.0, 10.0)
-    assert first_wait(upstreams, 11.0) is None
+    assert min_remaining_wait(upstreams, 11.0) is None
     rest(table, upstreams[2], 4.0, 10.0)
-    assert first_wait(upstreams, 11.0) == 1.0
-    say_leaving(table.book, upstreams[1].registration, upstreams[1].wishes)
-    assert first_wait(upstreams, 11.0) == 2.0
-    assert first_wait([], 11.0) is None
+    assert min_remaining_wait(upstreams, 11.0) == 1.0
+    say_leaving(table.backpressure, upstreams[1].registration, upstreams[1].backpressure)
+    assert min_remaining_wait(upstreams, 11.0) == 2.0
+    assert min_remaining_wait([], 11.0) is None
 
 
 def choose(upstreams: list[ForwardedUpstream], now: float) -> str | None:
@@ -168,7 +168,7 @@
     table = ForwardingTable()
     resting, leaving, avoided = (known(table, registration(name), 10.0) for name in "rla")
     rest(table, resting, 3.0, 10.0)
-    say_leaving(table.book, leaving.registration, leaving.wishes)
+    say_leaving(table.backpressure, leaving.registration, leaving.backpressure)
     avoided.avoid_until = 20.0
     pool = [resting, leaving, avoided]
     assert choose(pool, 11.0) == "a"
@@ -202,11 +202,11 @@
 def test_bound_falls_with_each_rest_and_ends_some_rests_later() -> None:
     table = ForwardingTable()
     upstream = known(table, registration(), 10.0)
-    note_fullness(upstream.wishes, 20.0, 6, 3.0, 10.0)
-    note_fullness(upstream.wishes, 30.0, 6, 3.0, 11.0)
-    assert upstream.wishes.most == 12.0
+    note_fullness(upstream.backpressure, 20.0, 6, 3.0, 10.0)
+    note_fullness(upstream.backpressure, 30.0, 6, 3.0, 11.0)
+    assert upstream.backpressure.most == 12.0
     upstream.in_flight = 12
-    assert is_at_most(upstream, 20.0, 1)
+    assert is_at_max_requests(upstream, 20.0, 1)
     assert choose([upstream], 20.0) is None
     upstream.in_flight = 11
     assert choose([upstream], 20.0) == "s-1"
