--- a/src/ledgeladder/daemons/peers.py
+++ b/src/ledgeladder/daemons/peers.py
@@ -154,7 +154,7 @@
     if peers.tasks is None:
         return
     now = anyio.current_time()
-    limit = len(peers.known) if peers.max_links is None or peers.is_stale() else peers.max_links
+    max_links = len(peers.known) if peers.max_links is None or peers.is_stale() else peers.max_links
 
     def is_available(address: str) -> bool:
         if address in peers.links or address not in peers.scopes:
@@ -166,15 +166,15 @@
         peers.domains,
         own=peers.own_address,
         own_domain=peers.identity.failure_domain,
-        limit=limit,
+        limit=max_links,
     )
-    chosen = choose_controls(peers.ranked, is_available, limit)
+    chosen = choose_controls(peers.ranked, is_available, max_links)
     for address in chosen:
         if address not in peers.scopes:
             peers.scopes[address] = anyio.CancelScope()
             peers.started_at[address] = now
             peers.tasks.start_soon(_maintain_link, peers, address)
-    if sum(address in peers.links for address in chosen) >= limit:
+    if sum(address in peers.links for address in chosen) >= max_links:
         for address in [item for item in peers.scopes if item not in chosen]:
             peers.scopes[address].cancel()
 
