--- a/src/ledgeladder/daemons/gateway/backpressure.py
+++ b/src/ledgeladder/daemons/gateway/backpressure.py
@@ -7,9 +7,9 @@
 
 import anyio
 
+from ...routing.backpressure import cap_requests, extend_backoff, record_draining
 from ...routing.forwarding_table import estimated_requests, pool_limits
 from ...routing.rate_grants import note_wanted
-from ...routing.upstream_wishes import ask_rest, note_fullness, say_leaving
 from ..limit_keeper import record_advertised_rate
 from .state import limit_keeper_of
 
@@ -48,7 +48,7 @@
     record_advertised_rate(
         limit_keeper_of(state), instance, facts.named_rate, sent_at, is_own=is_own
     )
-    if facts.leaving and say_leaving(
+    if facts.leaving and record_draining(
         state.table.backpressure, upstream.registration, upstream.backpressure
     ):
         state.metrics.counters["upstream-said-leaving"] += 1
@@ -87,8 +87,8 @@
     """
     now = anyio.current_time()
     held = estimated_requests(upstream, now, state.entry_count)
-    note_fullness(upstream.backpressure, held, upstream.registration.slots, seconds, now)
-    if not ask_rest(
+    cap_requests(upstream.backpressure, held, upstream.registration.slots, seconds, now)
+    if not extend_backoff(
         state.table.backpressure, upstream.registration, upstream.backpressure, seconds, now
     ):
         return
@@ -103,7 +103,11 @@
             "seconds": round(seconds, 3),
             "in_flight": upstream.in_flight,
             "held": round(held, 1),
-            "most": upstream.backpressure.most if now < upstream.backpressure.most_until else None,
+            "most": (
+                upstream.backpressure.max_requests
+                if now < upstream.backpressure.max_requests_until
+                else None
+            ),
         },
     )
 
@@ -120,7 +124,7 @@
     while True:
         now = anyio.current_time()
         for instance, upstream in list(watch.upstreams.items()):
-            if upstream.backpressure.rest_until <= now:
+            if upstream.backpressure.backoff_until <= now:
                 del watch.upstreams[instance]
                 logger.info(
                     "upstream back-off ended",
@@ -128,7 +132,7 @@
                 )
         watch.changed = anyio.Event()
         until = min(
-            (item.backpressure.rest_until for item in watch.upstreams.values()),
+            (item.backpressure.backoff_until for item in watch.upstreams.values()),
             default=float("inf"),
         )
         with anyio.move_on_after(until - now):
--- a/src/ledgeladder/routing/forwarding_table.py
+++ b/src/ledgeladder/routing/forwarding_table.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from ..model.registration import Registration, UpstreamState, run_began
+from .backpressure import Backpressure, BackpressureTable, find_backpressure
 from .load_sharing import LOAD_BELIEVED_SECONDS
 from .rate_grants import HeldLimit, LimitTable, grant_wait, has_grant
-from .upstream_wishes import WishBook, Wishes, wishes_of
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -115,7 +115,7 @@
     load_at: float = 0.0
     """When it told it, on the monotonic clock."""
 
-    backpressure: Wishes = msgspec.field(default_factory=Wishes)
+    backpressure: Backpressure = msgspec.field(default_factory=Backpressure)
     """What it asked of this box in answers."""
 
     limit: HeldLimit | None = None
@@ -127,7 +127,7 @@
     @property
     def draining(self) -> bool:
         """True if it must get no new work for good."""
-        return self.backpressure.leaving or self.registration.state is not UpstreamState.READY
+        return self.backpressure.draining or self.registration.state is not UpstreamState.READY
 
 
 class ForwardingTable(msgspec.Struct, kw_only=True):
@@ -142,7 +142,7 @@
     newest: dict[str, str] = msgspec.field(default_factory=dict)
     """Newest run of each upstream by the id that it keeps over restarts."""
 
-    backpressure: WishBook = msgspec.field(default_factory=WishBook)
+    backpressure: BackpressureTable = msgspec.field(default_factory=BackpressureTable)
     """What they asked of this box, kept while they are not registered."""
 
     limits: LimitTable = msgspec.field(default_factory=LimitTable)
@@ -195,7 +195,9 @@
     started_at = run_began(registration, last_seen, table.heartbeat)
     if upstream is None:
         # The first message is sent at the beginning: one interval less than for comparing runs.
-        backpressure = wishes_of(table.backpressure, registration, started_at + table.heartbeat)
+        backpressure = find_backpressure(
+            table.backpressure, registration, started_at + table.heartbeat
+        )
         upstream = ForwardedUpstream(
             registration=registration,
             last_seen=last_seen,
@@ -409,14 +411,14 @@
     """Tell whether a plain service holds as much as it may, since more had it ask for rest."""
     backpressure = upstream.backpressure
     return (
-        now < backpressure.most_until
-        and estimated_requests(upstream, now, sharers) >= backpressure.most
+        now < backpressure.max_requests_until
+        and estimated_requests(upstream, now, sharers) >= backpressure.max_requests
     )
 
 
 def is_backing_off(upstream: ForwardedUpstream, now: float) -> bool:
     """Tell whether an upstream wants nothing from this box right now."""
-    return now < upstream.backpressure.rest_until
+    return now < upstream.backpressure.backoff_until
 
 
 def accepts_work(upstream: ForwardedUpstream, now: float) -> bool:
@@ -428,8 +430,8 @@
 
 def remaining_wait(upstream: ForwardedUpstream, now: float) -> float:
     """Return when an upstream that does not leave wants work again, in seconds; 0 if it does."""
-    rest = upstream.backpressure.rest_until - now
-    return max(0.0, rest, grant_wait(upstream.limit, now))
+    backoff = upstream.backpressure.backoff_until - now
+    return max(0.0, backoff, grant_wait(upstream.limit, now))
 
 
 def min_remaining_wait(upstreams: Iterable[ForwardedUpstream], now: float) -> float | None:
--- a/tests/daemons/gateway/test_waiting.py
+++ b/tests/daemons/gateway/test_waiting.py
@@ -225,7 +225,7 @@
     )
     service = put_registration(state.table, registration, now)
     assert service is not None
-    service.backpressure.rest_until = now + seconds
+    service.backpressure.backoff_until = now + seconds
     return service
 
 
@@ -331,7 +331,7 @@
                 holdings=(Holding(first=first, end=end),),
             )
             put_registration(state.table, registration, now)
-        state.table.upstreams["a"].backpressure.rest_until = now + 0.1
+        state.table.upstreams["a"].backpressure.backoff_until = now + 0.1
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(run_queue, state.upstream_queue)
             assert await wait(state, permit(5.0, pool=POOL), 0.1)
--- a/tests/routing/rest_bed.py
+++ b/tests/routing/rest_bed.py
@@ -15,6 +15,7 @@
 
 from ledgeladder.model.exchange import UpstreamLoad
 from ledgeladder.model.registration import Registration
+from ledgeladder.routing.backpressure import BackpressureTable, cap_requests, extend_backoff
 from ledgeladder.routing.forwarding_table import (
     ForwardedUpstream,
     apply_peer_load,
@@ -26,7 +27,6 @@
 )
 from ledgeladder.routing.load_sharing import load_interval
 from ledgeladder.routing.service_choice import choose_service
-from ledgeladder.routing.upstream_wishes import WishBook, ask_rest, note_fullness
 
 from .virtual_time import VirtualTime
 
@@ -129,7 +129,7 @@
             Service(number=number, domain=f"d{number % 3}") for number in range(services)
         ]
         self.views = [self.view_of_all() for _ in range(boxes)]
-        self.books = [WishBook() for _ in range(boxes)]
+        self.books = [BackpressureTable() for _ in range(boxes)]
         self.asked: dict[tuple[int, int], tuple[float, float]] = {}
         self.rate, self.faults = rate, faults
         self.rest_seconds, self.obeys, self.bounds = rest_seconds, obeys, bounds
@@ -247,8 +247,8 @@
         if self.obeys:
             if self.bounds:
                 held = estimated_requests(view, self.now, len(self.views))
-                note_fullness(view.backpressure, held, SLOTS, self.rest_seconds, self.now)
-            ask_rest(
+                cap_requests(view.backpressure, held, SLOTS, self.rest_seconds, self.now)
+            extend_backoff(
                 self.books[box], view.registration, view.backpressure, self.rest_seconds, self.now
             )
         self.send(box, request)
--- a/tests/routing/test_upstream_wishes.py
+++ b/tests/routing/test_backpressure.py
@@ -7,6 +7,15 @@
 import pytest
 
 from ledgeladder.model.registration import Registration, UpstreamState
+from ledgeladder.routing.backpressure import (
+    MAX_KEPT_UPSTREAMS,
+    MAX_REQUESTS_BACKOFFS,
+    Backpressure,
+    BackpressureTable,
+    cap_requests,
+    extend_backoff,
+    record_draining,
+)
 from ledgeladder.routing.forwarding_table import (
     ForwardedUpstream,
     ForwardingTable,
@@ -21,15 +30,6 @@
     record_success,
 )
 from ledgeladder.routing.service_choice import choose_service
-from ledgeladder.routing.upstream_wishes import (
-    KEPT,
-    MOST_RESTS,
-    WishBook,
-    Wishes,
-    ask_rest,
-    note_fullness,
-    say_leaving,
-)
 
 HEARTBEAT = 1.0
 
@@ -54,7 +54,9 @@
 
 
 def rest(table: ForwardingTable, upstream: ForwardedUpstream, seconds: float, now: float) -> bool:
-    return ask_rest(table.backpressure, upstream.registration, upstream.backpressure, seconds, now)
+    return extend_backoff(
+        table.backpressure, upstream.registration, upstream.backpressure, seconds, now
+    )
 
 
 def test_upstream_rests_until_the_end_of_the_time_and_not_longer() -> None:
@@ -72,7 +74,7 @@
     upstream = known(table, registration())
     rest(table, upstream, 3.0, 10.0)
     assert rest(table, upstream, second, 11.0) is (until > 13.0)
-    assert upstream.backpressure.rest_until == until
+    assert upstream.backpressure.backoff_until == until
 
 
 def test_no_time_is_no_rest() -> None:
@@ -95,7 +97,7 @@
     table = ForwardingTable()
     upstream = known(table, registration())
     rest(table, upstream, 30.0, 10.0)
-    say_leaving(table.backpressure, upstream.registration, upstream.backpressure)
+    record_draining(table.backpressure, upstream.registration, upstream.backpressure)
     drop_upstream(table, upstream.registration.instance)
     again = known(table, registration(sequence=20), 20.0)
     assert is_backing_off(again, 20.0)
@@ -106,8 +108,8 @@
 def test_heartbeat_that_says_ready_ends_no_leaving() -> None:
     table = ForwardingTable()
     upstream = known(table, registration())
-    assert say_leaving(table.backpressure, upstream.registration, upstream.backpressure)
-    assert not say_leaving(table.backpressure, upstream.registration, upstream.backpressure)
+    assert record_draining(table.backpressure, upstream.registration, upstream.backpressure)
+    assert not record_draining(table.backpressure, upstream.registration, upstream.backpressure)
     assert known(table, registration(sequence=2), 1.0).draining
     assert not accepts_work(upstream, 1.0)
 
@@ -116,7 +118,7 @@
     table = ForwardingTable(heartbeat=HEARTBEAT)
     first = known(table, registration(start=1), 0.0)
     rest(table, first, 60.0, 10.0)
-    say_leaving(table.backpressure, first.registration, first.backpressure)
+    record_draining(table.backpressure, first.registration, first.backpressure)
     drop_upstream(table, first.registration.instance)
     second = known(table, registration(start=2), 10.5)
     assert accepts_work(second, 10.5)
@@ -126,7 +128,7 @@
     """A new run answers at the address, under the id, before its first heartbeat arrives."""
     table = ForwardingTable(heartbeat=HEARTBEAT)
     first = known(table, registration(start=1), 0.0)
-    say_leaving(table.backpressure, first.registration, first.backpressure)
+    record_draining(table.backpressure, first.registration, first.backpressure)
     rest(table, first, 5.0, 10.0)
     drop_upstream(table, first.registration.instance)
     # Its third message came at 11.5, so that it began about two intervals before.
@@ -136,12 +138,12 @@
 
 
 def test_remembered_wishes_are_bounded() -> None:
-    book = WishBook()
-    for number in range(KEPT + 10):
-        ask_rest(book, registration(f"s-{number}"), Wishes(), 3.0, 0.0)
-    assert len(book.wishes) == KEPT
-    assert "s-9" not in book.wishes
-    assert f"s-{KEPT + 9}" in book.wishes
+    book = BackpressureTable()
+    for number in range(MAX_KEPT_UPSTREAMS + 10):
+        extend_backoff(book, registration(f"s-{number}"), Backpressure(), 3.0, 0.0)
+    assert len(book.entries) == MAX_KEPT_UPSTREAMS
+    assert "s-9" not in book.entries
+    assert f"s-{MAX_KEPT_UPSTREAMS + 9}" in book.entries
 
 
 def test_time_that_is_left_is_that_of_the_first_upstream_to_return() -> None:
@@ -152,7 +154,7 @@
     assert min_remaining_wait(upstreams, 11.0) is None
     rest(table, upstreams[2], 4.0, 10.0)
     assert min_remaining_wait(upstreams, 11.0) == 1.0
-    say_leaving(table.backpressure, upstreams[1].registration, upstreams[1].backpressure)
+    record_draining(table.backpressure, upstreams[1].registration, upstreams[1].backpressure)
     assert min_remaining_wait(upstreams, 11.0) == 2.0
     assert min_remaining_wait([], 11.0) is None
 
@@ -168,7 +170,7 @@
     table = ForwardingTable()
     resting, leaving, avoided = (known(table, registration(name), 10.0) for name in "rla")
     rest(table, resting, 3.0, 10.0)
-    say_leaving(table.backpressure, leaving.registration, leaving.backpressure)
+    record_draining(table.backpressure, leaving.registration, leaving.backpressure)
     avoided.avoid_until = 20.0
     pool = [resting, leaving, avoided]
     assert choose(pool, 11.0) == "a"
@@ -194,21 +196,21 @@
 )
 def test_upstream_that_was_full_is_sent_less_than_it_held(held: float, most: float) -> None:
     """One that held fewer than its slots asked for another reason, and is not bound."""
-    wishes = Wishes()
-    note_fullness(wishes, held, 6, 3.0, 10.0)
-    assert wishes.most == pytest.approx(most)
+    wishes = Backpressure()
+    cap_requests(wishes, held, 6, 3.0, 10.0)
+    assert wishes.max_requests == pytest.approx(most)
 
 
 def test_bound_falls_with_each_rest_and_ends_some_rests_later() -> None:
     table = ForwardingTable()
     upstream = known(table, registration(), 10.0)
-    note_fullness(upstream.backpressure, 20.0, 6, 3.0, 10.0)
-    note_fullness(upstream.backpressure, 30.0, 6, 3.0, 11.0)
-    assert upstream.backpressure.most == 12.0
+    cap_requests(upstream.backpressure, 20.0, 6, 3.0, 10.0)
+    cap_requests(upstream.backpressure, 30.0, 6, 3.0, 11.0)
+    assert upstream.backpressure.max_requests == 12.0
     upstream.in_flight = 12
     assert is_at_max_requests(upstream, 20.0, 1)
     assert choose([upstream], 20.0) is None
     upstream.in_flight = 11
     assert choose([upstream], 20.0) == "s-1"
     upstream.in_flight = 12
-    assert choose([upstream], 11.0 + 3.0 * MOST_RESTS) == "s-1"
+    assert choose([upstream], 11.0 + 3.0 * MAX_REQUESTS_BACKOFFS) == "s-1"
--- a/tests/routing/test_paths.py
+++ b/tests/routing/test_paths.py
@@ -9,6 +9,7 @@
 import pytest
 
 from ledgeladder.model.registration import Holding, Registration, UpstreamState
+from ledgeladder.routing.backpressure import extend_backoff
 from ledgeladder.routing.forwarding_table import (
     SLOWDOWN_VALID_SECONDS,
     ForwardedUpstream,
@@ -37,7 +38,6 @@
     link_penalties,
     suspect_links,
 )
-from ledgeladder.routing.upstream_wishes import ask_rest
 
 from .sample_site import CARDS, DOMAINS, PROFILE, placed_fleet
 
@@ -399,7 +399,9 @@
     for engine in pool:
         if rng.random() < share:
             seconds = rng.uniform(1.0, 5.0)
-            ask_rest(table.backpressure, engine.registration, engine.backpressure, seconds, 0.0)
+            extend_backoff(
+                table.backpressure, engine.registration, engine.backpressure, seconds, 0.0
+            )
     path = choose_path(PROFILE, pool, make_request(rng.choice("abc")), 0.5)
     if path is not None:
         assert not any(is_backing_off(engine, 0.5) for engine in path.engines)
@@ -418,5 +420,5 @@
         if engine.registration.holdings[0].first == 0:
             record_loss(engine, 0.0)
         else:
-            ask_rest(table.backpressure, engine.registration, engine.backpressure, 3.0, 0.0)
+            extend_backoff(table.backpressure, engine.registration, engine.backpressure, 3.0, 0.0)
     assert explain_no_path(PROFILE, pool, make_request(), 0.5).wait_seconds is None
--- a/tests/routing/test_rate_grants.py
+++ b/tests/routing/test_rate_grants.py
@@ -100,15 +100,15 @@
     assert grant_wait(limited.limit, 1.0) == 2.0
     assert min_remaining_wait([limited, free], 1.0) is None
     assert min_remaining_wait([limited], 1.0) == 2.0
-    limited.backpressure.rest_until = 11.0
+    limited.backpressure.backoff_until = 11.0
     assert remaining_wait(limited, 1.0) == 10.0
-    limited.backpressure.rest_until = 0.0
+    limited.backpressure.backoff_until = 0.0
     assert limited.limit is not None
     limited.limit.wait_until = 6.0
     assert remaining_wait(limited, 1.0) == 5.0
     add_grants(limited.limit, 1, 2.0)
     assert remaining_wait(limited, 1.0) == 0.0
-    limited.backpressure.leaving = True
+    limited.backpressure.draining = True
     assert not accepts_work(limited, 1.0)
     assert min_remaining_wait([limited], 1.0) is None
 
