--- a/src/ledgeladder/daemons/entry/generation.py
+++ b/src/ledgeladder/daemons/entry/generation.py
@@ -12,7 +12,7 @@
 from ...model import Execution, Problem, ProblemError, ResultCode, Route
 from ...routing.chain import choose_route, eligible_engines, replace_stages
 from ...routing.rate_grants import any_limited, note_wanted
-from ...routing.retry_budget import note_first_try, take_retry
+from ...routing.retry_budget import acquire_retry, record_first_try
 from ...routing.session import Session, begin_attempt
 from ...routing.upstream_table import (
     note_failure,
@@ -61,7 +61,7 @@
         max_tokens=request.max_tokens,
     )
     progress = Progress(last_token_at=request.arrived_at)
-    note_first_try(context.budget)
+    record_first_try(context.budget)
     try:
         with anyio.fail_after(max(0.0, request.deadline - now())):
             await _run_attempts(context, request, session, progress, emit)
@@ -98,7 +98,7 @@
         may_have_run = may_have_run or outcome.result is not AttemptResult.REFUSED
         if not may_have_run:
             _refuse_if_backing_off(context, request)
-        if not session.tokens and not take_retry(context.budget):
+        if not session.tokens and not acquire_retry(context.budget):
             raise _no_retry_left(session, outcome)
         progress.recovering = True
         context.metrics.events[f"attempt-{outcome.result.value}"] += 1
--- a/src/ledgeladder/daemons/entry/service_calls.py
+++ b/src/ledgeladder/daemons/entry/service_calls.py
@@ -20,7 +20,7 @@
 )
 from ...model import Execution, Problem, ProblemError, ResultCode
 from ...routing.rate_grants import any_limited, note_wanted, take_grants
-from ...routing.retry_budget import note_first_try, take_retry
+from ...routing.retry_budget import acquire_retry, record_first_try
 from ...routing.upstream_table import (
     UpstreamView,
     first_wait,
@@ -84,7 +84,7 @@
     Raises:
         ProblemError: If there is no answer. It states whether the call was run.
     """
-    note_first_try(context.budget)
+    record_first_try(context.budget)
     if repeatable:
         refuse_quarantined(context, permit.fingerprint)
         return await _run_repeatable(context, permit, call)
@@ -186,7 +186,7 @@
             raise _no_service(context, permit)
         if not may_retry(context, permit.fingerprint):
             raise refusal(ResultCode.UPSTREAM_LOST, "its upstreams ended", 1.0)
-        if _choose_service(context, permit, tried) is None or not take_retry(context.budget):
+        if _choose_service(context, permit, tried) is None or not acquire_retry(context.budget):
             if answer is not None:
                 return answer
             raise refusal(ResultCode.UPSTREAM_LOST, "no service answered", 1.0)
--- a/src/ledgeladder/daemons/gateway/borrowing.py
+++ b/src/ledgeladder/daemons/gateway/borrowing.py
@@ -8,13 +8,13 @@
 import anyio
 
 from ...links.messages import LoanRequest
-from ...routing.repeat_loans import LOAN_LIMIT, LOAN_SECONDS
-from ...routing.repeat_window import take_loan, take_repeat
+from ...routing.retry_quota import MAX_QUOTA_REQUEST, QUOTA_SECONDS
+from ...routing.retry_window import acquire_local_retry, add_quota
 from .state import PendingQuotaRequest, retry_budget
 
 if TYPE_CHECKING:
     from ...links.messages import LoanReply
-    from ...routing.repeat_window import Repeat
+    from ...routing.retry_window import Retry
     from .state import GatewayState
 
 logger = logging.getLogger(__name__)
@@ -27,7 +27,7 @@
 """How long no quota is requested after a denial."""
 
 
-async def acquire_retry(state: GatewayState, pool: str) -> Repeat | None:
+async def acquire_retry(state: GatewayState, pool: str) -> Retry | None:
     """Acquire one retry for a pool, from quota granted by a control box if necessary.
 
     Args:
@@ -38,9 +38,9 @@
         The retry, or None if the request must not be sent again.
     """
     budget = retry_budget(state, pool)
-    retry = take_repeat(budget, anyio.current_time(), state.entry_count)
+    retry = acquire_local_retry(budget, anyio.current_time(), state.entry_count)
     if retry is None and await _request_quota(state, pool):
-        retry = take_repeat(budget, anyio.current_time(), state.entry_count)
+        retry = acquire_local_retry(budget, anyio.current_time(), state.entry_count)
     if retry is None:
         state.metrics.counters["repeat-refused"] += 1
     return retry
@@ -77,7 +77,7 @@
 def _drop_unanswered(state: GatewayState, now: float) -> None:
     """Drop requests whose quota would have expired when an answer arrived."""
     for call, pending in list(state.pending_quota_requests.items()):
-        if now - pending.requested_at >= LOAN_SECONDS:
+        if now - pending.requested_at >= QUOTA_SECONDS:
             del state.pending_quota_requests[call]
 
 
@@ -90,7 +90,7 @@
             pending.call = state.next_quota_call
             state.next_quota_call += 1
             state.pending_quota_requests[pending.call] = pending
-            count = min(pending.requested - pending.granted, LOAN_LIMIT)
+            count = min(pending.requested - pending.granted, MAX_QUOTA_REQUEST)
             link.post(LoanRequest(call=pending.call, pool=pending.pool, count=count))
             return
     state.metrics.counters["repeats-borrowed"] += pending.granted
@@ -112,5 +112,5 @@
     if pending is None:
         return
     pending.granted += reply.count
-    take_loan(retry_budget(state, pending.pool), reply.count, pending.requested_at + LOAN_SECONDS)
+    add_quota(retry_budget(state, pending.pool), reply.count, pending.requested_at + QUOTA_SECONDS)
     _request_next(state, pending)
--- a/src/ledgeladder/daemons/gateway/plain.py
+++ b/src/ledgeladder/daemons/gateway/plain.py
@@ -25,7 +25,7 @@
 )
 from ...routing.pace import note_gap, stall_after
 from ...routing.rate_grants import any_limited
-from ...routing.repeat_window import give_back, note_first
+from ...routing.retry_window import record_first_try, release_retry
 from ...routing.service_choice import choose_service
 from .backpressure import request_grants
 from .borrowing import acquire_retry
@@ -48,7 +48,7 @@
 if TYPE_CHECKING:
     from ...http1 import Exchange, HttpRequest
     from ...routing.forwarding_table import ForwardedUpstream
-    from ...routing.repeat_window import Repeat
+    from ...routing.retry_window import Retry
     from .notes import RequestTrace
     from .state import GatewayState
 
@@ -81,7 +81,7 @@
     refusals: int = 0
     """Number of upstreams that refused to run it."""
 
-    retry: Repeat | None = None
+    retry: Retry | None = None
     """Retry that was acquired before an attempt was cancelled, and is not used yet."""
 
     answer: OpenAnswer | None = None
@@ -112,7 +112,7 @@
     """
     attempts = _Attempts()
     budget = retry_budget(state, permit.pool.name)
-    note_first(budget, anyio.current_time())
+    record_first_try(budget, anyio.current_time())
     with anyio.move_on_after(max(0.0, permit.deadline - anyio.current_time())):
         while True:
             upstream = _next_upstream(state, permit, attempts)
@@ -132,15 +132,15 @@
             if await _run_attempt(state, permit, request, attempts, upstream, trace):
                 break
             if retry is not None and attempts.sent == sent_before:
-                give_back(budget, retry)
+                release_retry(budget, retry)
     if attempts.retry is not None:
-        give_back(budget, attempts.retry)
+        release_retry(budget, attempts.retry)
     if attempts.answer is not None:
         record_answered(state, permit, request, trace)
     await _answer_caller(state, permit, request, exchange, attempts)
 
 
-async def _next_retry(state: GatewayState, permit: Permit, attempts: _Attempts) -> Repeat | None:
+async def _next_retry(state: GatewayState, permit: Permit, attempts: _Attempts) -> Retry | None:
     """Return the retry for the next attempt; None for the first attempt, or if no retry is left."""
     retry, attempts.retry = attempts.retry, None
     if retry is not None or not attempts.sent:
--- a/src/ledgeladder/daemons/gateway/state.py
+++ b/src/ledgeladder/daemons/gateway/state.py
@@ -22,7 +22,7 @@
 )
 from ...routing.link_load import LinkLoad
 from ...routing.pace import Pace
-from ...routing.repeat_window import RepeatWindow
+from ...routing.retry_window import RetryWindow
 from ...routing.route_index import RouteIndex
 from ...routing.suspected_links import SuspectedLinks
 from ...routing.wait_queue import WaitQueue
@@ -189,7 +189,7 @@
     connections: ConnectionPool = msgspec.field(default_factory=ConnectionPool)
     """Idle connections to upstreams."""
 
-    retry_budgets: dict[str, RepeatWindow] = msgspec.field(default_factory=dict)
+    retry_budgets: dict[str, RetryWindow] = msgspec.field(default_factory=dict)
     """Retry budgets, by pool."""
 
     batched_quota_requests: dict[str, PendingQuotaRequest] = msgspec.field(default_factory=dict)
@@ -312,12 +312,12 @@
     return state.answer_paces.setdefault(pool, Pace(floor=0.0))
 
 
-def retry_budget(state: GatewayState, pool: str) -> RepeatWindow:
+def retry_budget(state: GatewayState, pool: str) -> RetryWindow:
     """Return the retry budget of a pool."""
     window = state.retry_budgets.get(pool)
     if window is None:
         bounds = state.settings.bounds
-        window = RepeatWindow(
+        window = RetryWindow(
             ratio=bounds.repeat_ratio,
             reserve=bounds.repeat_reserve,
             seconds=bounds.repeat_window_seconds,
--- a/src/ledgeladder/daemons/gateway/stream.py
+++ b/src/ledgeladder/daemons/gateway/stream.py
@@ -11,7 +11,7 @@
 from ...platform.exchange import caller_headers
 from ...routing.event_stream import EventOrder
 from ...routing.pace import note_gap
-from ...routing.repeat_window import give_back, note_first
+from ...routing.retry_window import record_first_try, release_retry
 from ...routing.stream_patience import stream_patience
 from .borrowing import acquire_retry
 from .checks import Permit, refusal
@@ -68,7 +68,7 @@
         trace=trace,
     )
     budget = retry_budget(state, permit.pool.name)
-    note_first(budget, anyio.current_time())
+    record_first_try(budget, anyio.current_time())
     with anyio.move_on_after(max(0.0, permit.deadline - anyio.current_time())) as scope:
         while not (reason := _no_attempt_reason(permit, session)):
             crashes = count_crashes(state, permit, request, trace)
@@ -92,7 +92,7 @@
                 note_gap(state.stream_pace, anyio.current_time() - request.arrived_at)
                 return
             if retry is not None and result is AttemptResult.NOT_SENT:
-                give_back(budget, retry)
+                release_retry(budget, retry)
         trace.give_up_reason = reason
     await _finish(state, permit, exchange, session, timed_out=scope.cancelled_caught)
 
--- a/src/ledgeladder/daemons/registry/lending.py
+++ b/src/ledgeladder/daemons/registry/lending.py
@@ -13,8 +13,8 @@
 from ...coordination.rate_limit import LEADER_CONTACT_SECONDS
 from ...links import post_to_all
 from ...links.messages import LoanReply
-from ...routing.repeat_loans import FLOOR_SHARE, LoanBook, lend
-from ...routing.repeat_window import SHARE_USED
+from ...routing.retry_quota import BASE_QUOTA_SHARE, QuotaLedger, grant_quota
+from ...routing.retry_window import USABLE_SHARE
 from ..rate_lender import RateGranter
 from .published_version import version_age
 
@@ -63,7 +63,7 @@
     opened_at, count = state.voter_since, 0
     if opened_at is not None and may_grant(state):
         ledger = _quota_ledger(state, request.pool, opened_at)
-        count = lend(ledger, request.count, anyio.current_time())
+        count = grant_quota(ledger, request.count, anyio.current_time())
     if count < request.count:
         logger.info(
             "retry quota not fully granted",
@@ -77,14 +77,14 @@
     link.post(LoanReply(call=request.call, count=count))
 
 
-def _quota_ledger(state: RegistryState, pool: str, opened_at: float) -> LoanBook:
+def _quota_ledger(state: RegistryState, pool: str, opened_at: float) -> QuotaLedger:
     """Return the ledger of retry quota granted for a pool, sized to this voter's part of it."""
     ledger = state.quota_ledgers.get(pool)
     if ledger is None:
         bounds = state.settings.bounds
-        grantable = bounds.repeat_reserve * (1.0 - FLOOR_SHARE) * SHARE_USED
-        ledger = state.quota_ledgers[pool] = LoanBook(
-            lendable=grantable / count_granting_voters(state),
+        grantable = bounds.repeat_reserve * (1.0 - BASE_QUOTA_SHARE) * USABLE_SHARE
+        ledger = state.quota_ledgers[pool] = QuotaLedger(
+            grantable=grantable / count_granting_voters(state),
             window=bounds.repeat_window_seconds,
             opened_at=opened_at,
         )
--- a/src/ledgeladder/daemons/registry/state.py
+++ b/src/ledgeladder/daemons/registry/state.py
@@ -23,7 +23,7 @@
     from ...links.messages import CommandReply, VersionQuery
     from ...model.registration import Registration
     from ...model.traffic import TrafficConfiguration
-    from ...routing.repeat_loans import LoanBook
+    from ...routing.retry_quota import QuotaLedger
     from ...settings import RegistrySettings
     from ..control.node import ControlNode
     from ..peers import Peers
@@ -160,7 +160,7 @@
     next_call: int = 1
     """Call number of the next forwarded command."""
 
-    quota_ledgers: dict[str, LoanBook] = msgspec.field(default_factory=dict)
+    quota_ledgers: dict[str, QuotaLedger] = msgspec.field(default_factory=dict)
     """Retry quota that this box has granted, by pool."""
 
     voter_since: float | None = None
--- a/src/ledgeladder/routing/retry_budget.py
+++ b/src/ledgeladder/routing/retry_budget.py
@@ -18,19 +18,19 @@
     """Retries that may be made now."""
 
 
-def note_first_try(budget: RetryBudget) -> None:
+def record_first_try(budget: RetryBudget) -> None:
     """Earn a share of a retry."""
     budget.balance = min(budget.balance + budget.share, budget.reserve)
 
 
-def take_retry(budget: RetryBudget) -> bool:
+def acquire_retry(budget: RetryBudget) -> bool:
     """Spend one retry.
 
     Returns:
         False if the budget is spent and the request must be given up.
 
     >>> budget = RetryBudget(balance=1.0)
-    >>> take_retry(budget), take_retry(budget)
+    >>> acquire_retry(budget), acquire_retry(budget)
     (True, False)
     """
     if budget.balance < 1.0:
--- a/tests/daemons/gateway/test_borrowing.py
+++ b/tests/daemons/gateway/test_borrowing.py
@@ -12,7 +12,7 @@
 from ledgeladder.daemons.gateway.borrowing import acquire_retry, handle_quota_reply
 from ledgeladder.daemons.gateway.state import GatewayState
 from ledgeladder.links.messages import LoanReply, LoanRequest
-from ledgeladder.routing.repeat_window import Repeat
+from ledgeladder.routing.retry_window import Retry
 
 from .builders import gateway_state
 
@@ -46,9 +46,9 @@
 
 async def acquire_all(
     state: GatewayState, boxes: list[ControlBox], count: int
-) -> list[Repeat | None]:
+) -> list[Retry | None]:
     """Acquire retries concurrently, while control boxes reply."""
-    retries: list[Repeat | None] = []
+    retries: list[Retry | None] = []
 
     async def acquire() -> None:
         retries.append(await acquire_retry(state, POOL))
@@ -64,9 +64,9 @@
     return retries
 
 
-def granted(retries: list[Repeat | None]) -> int:
+def granted(retries: list[Retry | None]) -> int:
     """Return how many requests got a retry from granted quota."""
-    return sum(retry is not None and retry.lent_until is not None for retry in retries)
+    return sum(retry is not None and retry.quota_until is not None for retry in retries)
 
 
 def test_concurrent_requests_share_one_quota_request() -> None:
@@ -107,7 +107,7 @@
 def test_disconnecting_caller_does_not_block_the_quota_request_of_others() -> None:
     state, boxes = linked(4)
 
-    async def run() -> list[Repeat | None]:
+    async def run() -> list[Retry | None]:
         with anyio.CancelScope() as scope:
             scope.cancel()
             await acquire_retry(state, POOL)
--- a/tests/daemons/gateway/test_plain.py
+++ b/tests/daemons/gateway/test_plain.py
@@ -15,7 +15,7 @@
 from ledgeladder.http1 import connect
 from ledgeladder.model.traffic import RequestKind
 from ledgeladder.routing.forwarding_table import put_registration
-from ledgeladder.routing.repeat_window import RepeatWindow
+from ledgeladder.routing.retry_window import RetryWindow
 
 from .builders import engine, gateway_state
 
@@ -98,13 +98,13 @@
         for number in range(3):
             item = engine(f"s-{number}", f"{LOCAL}:{number + 1}")
             state.table.pools.setdefault("p", []).append(item)
-        budget = RepeatWindow(ratio=0.0, reserve=reserve, seconds=10.0)
+        budget = RetryWindow(ratio=0.0, reserve=reserve, seconds=10.0)
         state.retry_budgets["p"] = budget
         now = anyio.current_time()
         request: Any = SimpleNamespace(arrived_at=now, method=b"GET", target=b"/", body=b"")
         exchange: Any = SimpleNamespace(answer=answer)
         await plain.forward_plain(state, permit(now), request, exchange, RequestTrace())
-        return len(budget.repeats)
+        return len(budget.retries)
 
     retries = anyio.run(play)
     assert answered == [200]
--- a/tests/routing/test_forwarding.py
+++ b/tests/routing/test_forwarding.py
@@ -26,7 +26,7 @@
     record_loss,
     record_success,
 )
-from ledgeladder.routing.repeat_window import RepeatWindow, note_first, take_repeat
+from ledgeladder.routing.retry_window import RetryWindow, acquire_local_retry, record_first_try
 from ledgeladder.routing.route_index import build_index, choose_pool, find_route
 
 
@@ -82,7 +82,7 @@
 
 def test_budgets_of_all_boxes_together_keep_the_shared_one() -> None:
     entries = 8
-    windows = [RepeatWindow(ratio=0.2, reserve=200.0, seconds=10.0) for _ in range(entries)]
+    windows = [RetryWindow(ratio=0.2, reserve=200.0, seconds=10.0) for _ in range(entries)]
     rng = random.Random(2)
     sent: list[float] = []
     firsts: list[float] = []
@@ -90,9 +90,9 @@
         now = step * 0.002
         window = rng.choice(windows)
         if rng.random() < 0.1:
-            note_first(window, now)
+            record_first_try(window, now)
             firsts.append(now)
-        if take_repeat(window, now, entries):
+        if acquire_local_retry(window, now, entries):
             sent.append(now)
     for end in range(10, 40):
         repeats = sum(end - 10 < at <= end for at in sent)
