--- a/bench/capacity/cores.py
+++ b/bench/capacity/cores.py
@@ -21,7 +21,7 @@
     digest,
 )
 from ledgeladder.routing.chain import better_of_two, choose_route, eligible_engines
-from ledgeladder.routing.upstream_table import UpstreamTable, adopt_configuration
+from ledgeladder.routing.upstream_table import UpstreamTable, update_upstreams
 from standins.keys import new_key
 from standins.membership_network import Network
 
@@ -106,7 +106,7 @@
     for replicas in (12, 48, 150, 300, REPLICAS):
         table = UpstreamTable()
         made = configuration(1, replicas)
-        adopt_configuration(table, made)
+        update_upstreams(table, made)
         pipeline = made.pipelines["p"]
         pick = better_of_two(random.Random(1))
         rounds = 100
--- a/src/ledgeladder/daemons/entry/attempt.py
+++ b/src/ledgeladder/daemons/entry/attempt.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from ...routing.pace import Pace, note_false_alarm, note_gap, stall_after
-from ...routing.rate_grants import has_grant, take_grants
+from ...routing.rate_grants import acquire_grants, has_grant
 from ...routing.session import Session, TokenFrame, Verdict, accept_token
-from ...routing.upstream_table import note_success
+from ...routing.upstream_table import record_success
 from ...upstreams.engine import (
     EngineFrame,
     EngineLostError,
@@ -149,7 +149,7 @@
     without_grant = frozenset(view.upstream.name for view in known if not has_grant(view.limit, at))
     if without_grant:
         return AttemptOutcome(result=AttemptResult.REFUSED, blamed=without_grant, rate_limited=True)
-    take_grants([view.limit for view in known], at)
+    acquire_grants([view.limit for view in known], at)
     attempt = Attempt(
         outcome=AttemptOutcome(result=AttemptResult.LOST, blamed=head), last_progress_at=now()
     )
@@ -166,7 +166,7 @@
     attempt.outcome.reached = attempt.reached
     if attempt.outcome.result is AttemptResult.COMPLETE:
         for view in known:
-            note_success(view)
+            record_success(view)
     return attempt.outcome
 
 
--- a/src/ledgeladder/daemons/entry/context.py
+++ b/src/ledgeladder/daemons/entry/context.py
@@ -18,7 +18,7 @@
 from ...routing.pace import Pace
 from ...routing.policy import CompiledPolicy, compile_policy
 from ...routing.retry_budget import RetryBudget
-from ...routing.upstream_table import UpstreamTable, adopt_configuration
+from ...routing.upstream_table import UpstreamTable, update_upstreams
 from .gate import Gate
 from .metrics import EntryMetrics
 
@@ -146,7 +146,7 @@
         compiled = compile_policy(policy.name, policy.source)
         if isinstance(compiled, Success):
             context.policies[policy.name] = compiled.unwrap()
-    adopt_configuration(context.upstreams, configuration)
+    update_upstreams(context.upstreams, configuration)
     return True
 
 
--- a/src/ledgeladder/daemons/entry/gate.py
+++ b/src/ledgeladder/daemons/entry/gate.py
@@ -20,7 +20,7 @@
 from ...coordination.raft import quorum
 from ...http1 import RestAskedError
 from ...links.messages import FencedOrder, OrderOutcome, TermQuery, TermReply
-from ...routing.upstream_table import is_resting, note_rest
+from ...routing.upstream_table import is_backing_off, record_backoff
 from ...upstreams.engine import make_order_request, send_order
 from ..clock import now
 
@@ -83,13 +83,13 @@
 async def _send(context: EntryContext, order: FencedOrder, request: OrderRequest) -> bool:
     """Send an order, unless the engine rests; True if it holds what was ordered."""
     view = context.upstreams.views.get(order.upstream)
-    if view is not None and is_resting(view, now()):
+    if view is not None and is_backing_off(view, now()):
         return False
     try:
         return await send_order(context.client, order.address, request) is True
     except RestAskedError as error:
         if view is not None:
-            note_rest(view, error.seconds, now())
+            record_backoff(view, error.seconds, now())
         return False
 
 
--- a/src/ledgeladder/daemons/entry/generation.py
+++ b/src/ledgeladder/daemons/entry/generation.py
@@ -11,13 +11,13 @@
 
 from ...model import Execution, Problem, ProblemError, ResultCode, Route
 from ...routing.chain import choose_route, eligible_engines, replace_stages
-from ...routing.rate_grants import any_limited, note_wanted
+from ...routing.rate_grants import any_limited, record_demand
 from ...routing.retry_budget import acquire_retry, record_first_try
 from ...routing.session import Session, begin_attempt
 from ...routing.upstream_table import (
-    note_failure,
-    note_rest,
-    view_wait,
+    record_backoff,
+    record_failure,
+    remaining_wait,
 )
 from ...upstreams.engine import CancelRequest, cancel_on_engine
 from ..clock import now
@@ -151,7 +151,7 @@
         for view in context.upstreams.views.values()
         if view.upstream.model == request.pipeline.model
     ]
-    if note_wanted(limits, now()):
+    if record_demand(limits, now()):
         limit_keeper_of(context).wake.set()
 
 
@@ -179,7 +179,9 @@
         None if there is a route now, or if there is none even after all of them end.
     """
     at = now()
-    for wait in sorted({0.0} | {view_wait(view, at) for view in context.upstreams.views.values()}):
+    for wait in sorted(
+        {0.0} | {remaining_wait(view, at) for view in context.upstreams.views.values()}
+    ):
         engines = eligible_engines(
             context.upstreams, request.pipeline, at, allowed=request.allowed, available_within=wait
         )
@@ -222,13 +224,13 @@
         if outcome.rate_limited:
             continue
         if outcome.draining:
-            view.said_leaving = True
+            view.reported_draining = True
             continue
         if outcome.backoff_seconds is not None:
             # It is not suspected as well, because suspected engines are probed.
-            note_rest(view, outcome.backoff_seconds, now())
+            record_backoff(view, outcome.backoff_seconds, now())
             continue
-        note_failure(view, now())
+        record_failure(view, now())
         if outcome.result is AttemptResult.LOST:
             domain = view.upstream.failure_domain
             run_in_background(context, probe_failure_domain, context, domain)
--- a/src/ledgeladder/daemons/entry/main.py
+++ b/src/ledgeladder/daemons/entry/main.py
@@ -12,7 +12,7 @@
 from ...links.messages import PeerRole
 from ...routing.admission import Admission
 from ...routing.chain import better_of_two, least_loaded, round_robin
-from ...routing.upstream_table import attach_limit, take_box_list
+from ...routing.upstream_table import apply_draining_list, set_limit
 from ...upstreams.box_list import read_box_list
 from ..http import serve_http, upstream_client
 from ..limit_keeper import RateLimiter, run_rate_limiter
@@ -118,7 +118,7 @@
     context.send_to_controls = lambda message: send_to_controls(follower, message)
     limiter = context.limit_keeper = RateLimiter(
         table=context.upstreams.limits,
-        attach=lambda name, held: attach_limit(context.upstreams, name, held),
+        attach=lambda name, held: set_limit(context.upstreams, name, held),
         control_links=lambda: control_links(follower),
     )
     membership = build_membership(context)
@@ -194,7 +194,7 @@
     while True:
         box_list = await read_box_list(context.client, platform.box_list_url)
         if box_list is not None:
-            take_box_list(context.upstreams, set(box_list.leaving))
+            apply_draining_list(context.upstreams, set(box_list.leaving))
         await anyio.sleep(platform.poll_seconds * random.uniform(0.8, 1.2))
 
 
--- a/src/ledgeladder/daemons/entry/service_calls.py
+++ b/src/ledgeladder/daemons/entry/service_calls.py
@@ -19,15 +19,15 @@
     ReleaseCommand,
 )
 from ...model import Execution, Problem, ProblemError, ResultCode
-from ...routing.rate_grants import any_limited, note_wanted, take_grants
+from ...routing.rate_grants import acquire_grants, any_limited, record_demand
 from ...routing.retry_budget import acquire_retry, record_first_try
 from ...routing.upstream_table import (
     UpstreamView,
-    first_wait,
-    note_failure,
-    note_rest,
-    note_success,
-    usable,
+    is_usable,
+    min_remaining_wait,
+    record_backoff,
+    record_failure,
+    record_success,
 )
 from ...upstreams.service import ServiceAnswer, ServiceCall, ServiceCallError, call_service
 from ..clock import now, wall_clock_ms
@@ -99,7 +99,7 @@
 
 def _seconds_to_capacity(context: EntryContext, permit: Permit) -> float | None:
     """Return the time until a service accepts work, in seconds; None if one accepts work now."""
-    return first_wait(_services(context, permit), now())
+    return min_remaining_wait(_services(context, permit), now())
 
 
 def _no_service(context: EntryContext, permit: Permit) -> ProblemError:
@@ -114,10 +114,10 @@
 
 def _choose_service(context: EntryContext, permit: Permit, tried: set[str]) -> UpstreamView | None:
     services = _services(context, permit)
-    if note_wanted([view.limit for view in services], now()):
+    if record_demand([view.limit for view in services], now()):
         limit_keeper_of(context).wake.set()
     candidates = [
-        view for view in services if view.upstream.name not in tried and usable(view, now())
+        view for view in services if view.upstream.name not in tried and is_usable(view, now())
     ]
     if not candidates:
         return None
@@ -129,7 +129,7 @@
     context: EntryContext, permit: Permit, view: UpstreamView, call: ServiceCall
 ) -> ServiceAnswer:
     sent_at = now()
-    if not take_grants([view.limit], sent_at):
+    if not acquire_grants([view.limit], sent_at):
         raise ServiceCallError(Execution.NOT_RUN, "it takes no more requests in this second")
     limiter, name = limit_keeper_of(context), view.upstream.name
     view.in_flight += 1
@@ -137,17 +137,17 @@
         with anyio.fail_after(max(0.0, permit.deadline - now())):
             answer = await call_service(context.client, view.upstream.address, call)
     except TimeoutError as error:
-        note_failure(view, now())
+        record_failure(view, now())
         raise ServiceCallError(Execution.UNKNOWN, "the deadline passed") from error
     except ServiceCallError as error:
         record_advertised_rate(
             limiter, name, error.named_rate, sent_at, is_own=error.backoff_seconds is not None
         )
         if error.backoff_seconds is None:
-            note_failure(view, now())
+            record_failure(view, now())
         else:
             # A requested back-off is no failure.
-            note_rest(view, error.backoff_seconds, now())
+            record_backoff(view, error.backoff_seconds, now())
         if error.execution is Execution.UNKNOWN:
             upstream = view.upstream
             await record_crash(context, permit.fingerprint, upstream.name, upstream.address)
@@ -156,8 +156,8 @@
         view.in_flight -= 1
     record_advertised_rate(limiter, name, answer.named_rate, sent_at, is_own=True)
     if answer.backoff_seconds is not None:
-        note_rest(view, answer.backoff_seconds, now())
-    note_success(view)
+        record_backoff(view, answer.backoff_seconds, now())
+    record_success(view)
     record_answered(context, permit.fingerprint)
     return answer
 
--- a/src/ledgeladder/daemons/entry/watching.py
+++ b/src/ledgeladder/daemons/entry/watching.py
@@ -12,12 +12,12 @@
 from ...model import UpstreamKind
 from ...routing.pace import note_gap, probe_patience
 from ...routing.upstream_table import (
-    is_resting,
-    note_failure,
-    note_rest,
-    note_success,
-    suspects,
-    take_report,
+    apply_report,
+    is_backing_off,
+    record_backoff,
+    record_failure,
+    record_success,
+    suspected_engines,
 )
 from ...upstreams.engine import is_live, read_load
 from ..clock import now, wall_clock_ms
@@ -53,7 +53,7 @@
         await anyio.sleep(WATCH_SECONDS * random.uniform(0.8, 1.2))
         async with anyio.create_task_group() as tasks:
             for view in list(context.upstreams.views.values()):
-                if _is_watched_here(membership, view) and not is_resting(view, now()):
+                if _is_watched_here(membership, view) and not is_backing_off(view, now()):
                     tasks.start_soon(_look, context, membership, view, misses)
 
 
@@ -73,7 +73,7 @@
     try:
         load = await read_load(context.client, view.upstream.address)
     except RestAskedError as error:
-        note_rest(view, error.seconds, now())
+        record_backoff(view, error.seconds, now())
         return
     misses[name] = 0 if load is not None else misses.get(name, 0) + 1
     if load is None and misses[name] < MISSES:
@@ -112,7 +112,7 @@
     for name, report in membership.reports.items():
         view = context.upstreams.views.get(name)
         if view is not None:
-            take_report(view, live=report.live, leaving=report.leaving, running=report.running)
+            apply_report(view, live=report.live, draining=report.leaving, running=report.running)
 
 
 async def probe_suspects(context: EntryContext) -> None:
@@ -120,7 +120,7 @@
     while True:
         await anyio.sleep(PROBE_SECONDS * random.uniform(0.8, 1.2))
         async with anyio.create_task_group() as tasks:
-            for view in suspects(context.upstreams, now()):
+            for view in suspected_engines(context.upstreams, now()):
                 tasks.start_soon(_probe, context, view)
 
 
@@ -143,7 +143,7 @@
 
 async def _probe(context: EntryContext, view: UpstreamView) -> None:
     if await responds_to_probe(context, view.upstream.address):
-        note_success(view)
+        record_success(view)
 
 
 async def probe_failure_domain(context: EntryContext, failure_domain: str) -> None:
@@ -158,11 +158,11 @@
 
     async def check(view: UpstreamView) -> None:
         if not await responds_to_probe(context, view.upstream.address):
-            note_failure(view, now())
+            record_failure(view, now())
 
     async with anyio.create_task_group() as tasks:
         for view in list(context.upstreams.views.values()):
             engine = view.upstream.kind is UpstreamKind.ENGINE
-            asked = engine and not is_resting(view, now())
+            asked = engine and not is_backing_off(view, now())
             if asked and view.upstream.failure_domain == failure_domain:
                 tasks.start_soon(check, view)
--- a/src/ledgeladder/daemons/gateway/backpressure.py
+++ b/src/ledgeladder/daemons/gateway/backpressure.py
@@ -9,7 +9,7 @@
 
 from ...routing.backpressure import cap_requests, extend_backoff, record_draining
 from ...routing.forwarding_table import estimated_requests, pool_limits
-from ...routing.rate_grants import note_wanted
+from ...routing.rate_grants import record_demand
 from ..limit_keeper import record_advertised_rate
 from .state import limit_keeper_of
 
@@ -114,7 +114,7 @@
 
 def request_grants(state: GatewayState, pool: str) -> None:
     """Record demand for a pool, and wake the limit keeper if rate grants are missing."""
-    if note_wanted(pool_limits(state.table, pool), anyio.current_time()):
+    if record_demand(pool_limits(state.table, pool), anyio.current_time()):
         limit_keeper_of(state).wake.set()
 
 
--- a/src/ledgeladder/daemons/gateway/upstream_call.py
+++ b/src/ledgeladder/daemons/gateway/upstream_call.py
@@ -18,7 +18,7 @@
 )
 from ...platform.exchange import dispatch_headers, read_answer_facts
 from ...routing.forwarding_table import accepts_work, is_backing_off, record_load
-from ...routing.rate_grants import take_grants
+from ...routing.rate_grants import acquire_grants
 from .backpressure import handle_backpressure
 
 if TYPE_CHECKING:
@@ -117,7 +117,7 @@
     if reason:
         await connection.close()
         raise BackpressureError(reason)
-    take_grants([item.limit for item in targets], sent_at)
+    acquire_grants([item.limit for item in targets], sent_at)
     hide_key = state.index.needs_keys
     headers = dispatch_headers(request, dispatch, hide_key=hide_key)
     try:
--- a/src/ledgeladder/daemons/limit_keeper.py
+++ b/src/ledgeladder/daemons/limit_keeper.py
@@ -27,13 +27,13 @@
 from ..links import post_to_all
 from ..links.messages import GrantReply, GrantRequest, RateLimitNews
 from ..routing.rate_grants import (
-    ASK_SECONDS,
-    HeldLimit,
-    LimitTable,
+    REQUEST_INTERVAL_SECONDS,
+    GrantedLimit,
+    GrantedLimitTable,
     add_grants,
-    grants_to_ask,
+    grants_to_request,
     is_limited,
-    share_of,
+    split_evenly,
 )
 
 if TYPE_CHECKING:
@@ -56,10 +56,10 @@
 class RateLimiter(msgspec.Struct, kw_only=True):
     """Rate limits of one entry box, and its grant requests."""
 
-    table: LimitTable
+    table: GrantedLimitTable
     """Limits that this box knows."""
 
-    attach: Callable[[str, HeldLimit | None], None]
+    attach: Callable[[str, GrantedLimit | None], None]
     """Sets the limit of the upstream of this name, or removes it, if the upstream is known."""
 
     control_links: Callable[[], list[Link]]
@@ -134,7 +134,7 @@
 
 def _start_limiting(limiter: RateLimiter, upstream: str, limit: RateLimit) -> None:
     """Start to limit an upstream, even if it is not known yet."""
-    held = limiter.table.limits[upstream] = HeldLimit(limit=limit)
+    held = limiter.table.limits[upstream] = GrantedLimit(limit=limit)
     limiter.attach(upstream, held)
 
 
@@ -199,13 +199,13 @@
     """Report limits to control boxes and request grants; runs until cancelled."""
     logged_at = float("-inf")
     while True:
-        with anyio.move_on_after(ASK_SECONDS if limiter.table.limits else None):
+        with anyio.move_on_after(REQUEST_INTERVAL_SECONDS if limiter.table.limits else None):
             await limiter.wake.wait()
         limiter.wake = anyio.Event()
         now = anyio.current_time()
         links = limiter.control_links()
         _send_updates(limiter, links, now)
-        if now - limiter.table.asked_at >= ASK_SECONDS:
+        if now - limiter.table.requested_at >= REQUEST_INTERVAL_SECONDS:
             _request_grants(limiter, links, now)
         if now - logged_at >= LOG_INTERVAL_SECONDS:
             _log_sent(limiter)
@@ -234,23 +234,23 @@
     wanted = {
         upstream: held
         for upstream, held in limiter.table.limits.items()
-        if held.wanted and is_limited(held, now)
+        if held.demand and is_limited(held, now)
     }
     if not wanted or not links:
         return
-    limiter.table.asked_at = now
+    limiter.table.requested_at = now
     for call in [
         call for call, at in limiter.requested_at.items() if now - at >= GRANT_TTL_SECONDS
     ]:
         del limiter.requested_at[call]
-    counts = {upstream: grants_to_ask(held) for upstream, held in wanted.items()}
+    counts = {upstream: grants_to_request(held) for upstream, held in wanted.items()}
     limits = {upstream: to_reported(held.limit, now) for upstream, held in wanted.items()}
     turn = limiter.last_call
     for number, link in enumerate(links):
         shares = {
             upstream: share
             for upstream, count in counts.items()
-            if (share := share_of(count, (number + turn) % len(links), len(links)))
+            if (share := split_evenly(count, (number + turn) % len(links), len(links)))
         }
         if shares:
             limiter.last_call += 1
@@ -261,17 +261,17 @@
 
 def _log_sent(limiter: RateLimiter) -> None:
     for upstream, held in limiter.table.limits.items():
-        if held.sent or held.lent:
+        if held.sent or held.granted:
             logger.info(
                 "sent under a limit",
                 extra={
                     "upstream": upstream,
                     "rate": held.limit.rate,
                     "sent": held.sent,
-                    "lent": held.lent,
+                    "lent": held.granted,
                 },
             )
-        held.sent = held.lent = 0
+        held.sent = held.granted = 0
 
 
 def _drop_expired(limiter: RateLimiter, now: float) -> None:
--- a/src/ledgeladder/routing/chain.py
+++ b/src/ledgeladder/routing/chain.py
@@ -16,7 +16,7 @@
 from returns.result import Failure, Result, Success
 
 from ..model import LayerSpan, Problem, ResultCode, Route, Stage, UpstreamKind
-from .upstream_table import UpstreamTable, UpstreamView, usable
+from .upstream_table import UpstreamTable, UpstreamView, is_usable
 
 if TYPE_CHECKING:
     from ..model import Pipeline
@@ -96,7 +96,7 @@
         for view in table.views.values()
         if view.upstream.kind is UpstreamKind.ENGINE
         and view.upstream.model == pipeline.model
-        and usable(view, now, available_within)
+        and is_usable(view, now, available_within)
         and allowed(view)
     ]
 
--- a/src/ledgeladder/routing/forwarding_table.py
+++ b/src/ledgeladder/routing/forwarding_table.py
@@ -13,7 +13,7 @@
 from ..model.registration import Registration, UpstreamState, run_began
 from .backpressure import Backpressure, BackpressureTable, find_backpressure
 from .load_sharing import LOAD_BELIEVED_SECONDS
-from .rate_grants import HeldLimit, LimitTable, grant_wait, has_grant
+from .rate_grants import GrantedLimit, GrantedLimitTable, grant_wait, has_grant
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -118,7 +118,7 @@
     backpressure: Backpressure = msgspec.field(default_factory=Backpressure)
     """What it asked of this box in answers."""
 
-    limit: HeldLimit | None = None
+    limit: GrantedLimit | None = None
     """Requests a second that it takes from all boxes together; None if it has named none."""
 
     on_lost: set[Callable[[ForwardedUpstream], None]] = msgspec.field(default_factory=set)
@@ -145,7 +145,7 @@
     backpressure: BackpressureTable = msgspec.field(default_factory=BackpressureTable)
     """What they asked of this box, kept while they are not registered."""
 
-    limits: LimitTable = msgspec.field(default_factory=LimitTable)
+    limits: GrantedLimitTable = msgspec.field(default_factory=GrantedLimitTable)
     """Requests a second that they take from all boxes together, likewise."""
 
     heartbeat: float = 1.0
@@ -218,14 +218,14 @@
     return upstream
 
 
-def set_limit(table: ForwardingTable, instance: str, limit: HeldLimit | None) -> None:
+def set_limit(table: ForwardingTable, instance: str, limit: GrantedLimit | None) -> None:
     """Give an upstream its limit, or take it away, if it is registered."""
     upstream = table.upstreams.get(instance)
     if upstream is not None:
         upstream.limit = limit
 
 
-def pool_limits(table: ForwardingTable, pool: str) -> list[HeldLimit]:
+def pool_limits(table: ForwardingTable, pool: str) -> list[GrantedLimit]:
     """Return the limits of the registered upstreams of a pool that do not leave."""
     return [
         limit
--- a/src/ledgeladder/routing/rate_grants.py
+++ b/src/ledgeladder/routing/rate_grants.py
@@ -17,15 +17,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-ASK_SECONDS: Final = 1.0
+REQUEST_INTERVAL_SECONDS: Final = 1.0
 """How often a box asks for requests at most, for all limited upstreams in one message."""
 
-ASK_GROWTH: Final = 2
+REQUEST_GROWTH: Final = 2
 """How many times what a box sent since it asked last it asks for, so that what is lent goes to the
 boxes that use it."""
 
 
-class HeldLimit(msgspec.Struct, kw_only=True):
+class GrantedLimit(msgspec.Struct, kw_only=True):
     """The limit of one run of an upstream, at one entry box."""
 
     limit: RateLimit
@@ -34,7 +34,7 @@
     grants: deque[float] = msgspec.field(default_factory=deque)
     """Until when each request that was lent may be sent, on the monotonic clock, soonest first."""
 
-    wanted: int = 0
+    demand: int = 0
     """Requests that the upstream was looked at for since this box last asked."""
 
     used: int = 0
@@ -46,92 +46,92 @@
     sent: int = 0
     """Requests of this box since that was last logged."""
 
-    lent: int = 0
+    granted: int = 0
     """Requests that were lent to it since then."""
 
 
-class LimitTable(msgspec.Struct, kw_only=True):
+class GrantedLimitTable(msgspec.Struct, kw_only=True):
     """Limits of all upstreams that name one."""
 
-    limits: dict[str, HeldLimit] = msgspec.field(default_factory=dict)
+    limits: dict[str, GrantedLimit] = msgspec.field(default_factory=dict)
     """Limits by run of the upstream."""
 
-    asked_at: float = float("-inf")
+    requested_at: float = float("-inf")
     """When this box last asked for requests, on the monotonic clock."""
 
 
-def is_limited(held: HeldLimit | None, now: float) -> bool:
+def is_limited(limit: GrantedLimit | None, now: float) -> bool:
     """Tell whether an upstream gets only requests that were lent."""
-    return held is not None and not math.isinf(effective_rate(held.limit, now))
+    return limit is not None and not math.isinf(effective_rate(limit.limit, now))
 
 
-def any_limited(all_held: Iterable[HeldLimit | None], now: float) -> bool:
+def any_limited(limits: Iterable[GrantedLimit | None], now: float) -> bool:
     """Tell whether any of some upstreams gets only requests that were lent."""
-    return any(is_limited(held, now) for held in all_held)
+    return any(is_limited(limit, now) for limit in limits)
 
 
-def note_wanted(all_held: Iterable[HeldLimit | None], now: float) -> bool:
+def record_demand(limits: Iterable[GrantedLimit | None], now: float) -> bool:
     """Note that a request looks for one of some upstreams, as far as they have limits.
 
     Returns:
         True if one of them has nothing left that was lent, so that more is to be asked for.
     """
-    limited = [held for held in all_held if held is not None]
-    for held in limited:
-        held.wanted += 1
-    return not all(has_grant(held, now) for held in limited)
+    limited = [limit for limit in limits if limit is not None]
+    for limit in limited:
+        limit.demand += 1
+    return not all(has_grant(limit, now) for limit in limited)
 
 
-def has_grant(held: HeldLimit | None, now: float) -> bool:
+def has_grant(limit: GrantedLimit | None, now: float) -> bool:
     """Tell whether a request may be sent to an upstream as far as its limit goes."""
-    if held is None or not is_limited(held, now):
+    if limit is None or not is_limited(limit, now):
         return True
-    while held.grants and held.grants[0] <= now:
-        held.grants.popleft()
-    return bool(held.grants)
+    while limit.grants and limit.grants[0] <= now:
+        limit.grants.popleft()
+    return bool(limit.grants)
 
 
-def take_grants(all_held: Iterable[HeldLimit | None], now: float) -> bool:
+def acquire_grants(limits: Iterable[GrantedLimit | None], now: float) -> bool:
     """Spend a request at each of some upstreams, or at none if one of them has none left."""
-    limited = [held for held in all_held if held is not None and is_limited(held, now)]
-    if not all(has_grant(held, now) for held in limited):
+    limited = [limit for limit in limits if limit is not None and is_limited(limit, now)]
+    if not all(has_grant(limit, now) for limit in limited):
         return False
-    for held in limited:
-        held.grants.popleft()
-        held.used += 1
-        held.sent += 1
+    for limit in limited:
+        limit.grants.popleft()
+        limit.used += 1
+        limit.sent += 1
     return True
 
 
-def add_grants(held: HeldLimit, count: int, until: float) -> None:
+def add_grants(limit: GrantedLimit, count: int, until: float) -> None:
     """Take in requests that were lent, to be sent until a monotonic time."""
-    held.grants.extend([until] * count)
-    held.lent += count
+    limit.grants.extend([until] * count)
+    limit.granted += count
 
 
-def grants_to_ask(held: HeldLimit) -> int:
+def grants_to_request(limit: GrantedLimit) -> int:
     """Return how many requests to ask for, and begin to count anew."""
-    count = min(held.wanted, 1 + ASK_GROWTH * held.used)
-    held.wanted = held.used = 0
+    count = min(limit.demand, 1 + REQUEST_GROWTH * limit.used)
+    limit.demand = limit.used = 0
     return count
 
 
-def share_of(count: int, turn: int, lenders: int) -> int:
+def split_evenly(count: int, index: int, parts: int) -> int:
     """Return how many of some requests one of several lenders is asked for.
 
     Args:
         count: Requests.
-        turn: Number of the lender; those with low numbers are asked for the odd ones.
-        lenders: Number of lenders.
+        index: Number of the lender; those with low numbers are asked for the odd ones.
+        parts: Number of lenders.
 
-    >>> [share_of(4, turn, 3) for turn in range(3)]
+    >>> [split_evenly(4, turn, 3) for turn in range(3)]
     [2, 1, 1]
     """
-    return count // lenders + (turn < count % lenders)
+    return count // parts + (index < count % parts)
 
 
-def grant_wait(held: HeldLimit | None, now: float) -> float:
+def grant_wait(limit: GrantedLimit | None, now: float) -> float:
     """Return how long it takes in the mean until a request may be sent, in seconds."""
-    if held is None or has_grant(held, now):
+    if limit is None or has_grant(limit, now):
         return 0.0
-    return max(held.wait_until - now, mean_interval(held.limit, now))
+    return max(limit.wait_until - now, mean_interval(limit.limit, now))
--- a/src/ledgeladder/routing/upstream_table.py
+++ b/src/ledgeladder/routing/upstream_table.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ..model import Configuration, Upstream, UpstreamKind
-from .rate_grants import HeldLimit, LimitTable, grant_wait
+from .rate_grants import GrantedLimit, GrantedLimitTable, grant_wait
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -19,7 +19,7 @@
 SUSPECT_SECONDS: Final = 1.0
 """How long a service is passed over after a failure; doubles with each failure in a row."""
 
-SUSPECT_LIMIT_SECONDS: Final = 8.0
+MAX_SUSPECT_SECONDS: Final = 8.0
 
 
 class UpstreamView(msgspec.Struct, kw_only=True):
@@ -34,19 +34,19 @@
     reported_load: float = 0.0
     """Requests that it last said to be working on, those of other boxes included."""
 
-    listed_leaving: bool = False
+    listed_draining: bool = False
     """True if the platform's list says that it is leaving."""
 
-    said_leaving: bool = False
+    reported_draining: bool = False
     """True if it said itself that it is leaving."""
 
     reported_down: bool = False
     """True if the boxes that watch it get no answer."""
 
-    rest_until: float = -math.inf
+    backoff_until: float = -math.inf
     """Until when it wants nothing from this box, as it said, on the monotonic clock."""
 
-    limit: HeldLimit | None = None
+    limit: GrantedLimit | None = None
     """Requests a second that it takes from all boxes together; None if it has named none."""
 
     suspect_until: float = 0.0
@@ -62,11 +62,11 @@
     views: dict[str, UpstreamView] = msgspec.field(default_factory=dict)
     """Views by name."""
 
-    limits: LimitTable = msgspec.field(default_factory=LimitTable)
+    limits: GrantedLimitTable = msgspec.field(default_factory=GrantedLimitTable)
     """Requests a second that upstreams take from all boxes together, by name."""
 
 
-def adopt_configuration(table: UpstreamTable, configuration: Configuration) -> None:
+def update_upstreams(table: UpstreamTable, configuration: Configuration) -> None:
     """Bring the table in line with a configuration, keeping what is known of each upstream.
 
     Args:
@@ -87,7 +87,7 @@
     table.views = kept
 
 
-def note_failure(view: UpstreamView, now: float) -> None:
+def record_failure(view: UpstreamView, now: float) -> None:
     """Pass an upstream over after a failure.
 
     An engine is passed over until it answers a probe, so that no request finds out again that it
@@ -101,17 +101,17 @@
     if view.upstream.kind is UpstreamKind.ENGINE:
         view.suspect_until = math.inf
         return
-    pause = min(SUSPECT_SECONDS * 2 ** (view.failures - 1), SUSPECT_LIMIT_SECONDS)
+    pause = min(SUSPECT_SECONDS * 2 ** (view.failures - 1), MAX_SUSPECT_SECONDS)
     view.suspect_until = now + pause
 
 
-def note_success(view: UpstreamView) -> None:
+def record_success(view: UpstreamView) -> None:
     """Trust an upstream again."""
     view.failures = 0
     view.suspect_until = 0.0
 
 
-def note_rest(view: UpstreamView, seconds: float, now: float) -> None:
+def record_backoff(view: UpstreamView, seconds: float, now: float) -> None:
     """Take in that an upstream wants nothing for some time; a shorter one shortens no earlier one.
 
     Unlike a time of suspicion it is no guess of this box, and no answer to an earlier request ends
@@ -123,85 +123,87 @@
         now: Monotonic time in seconds.
     """
     until = now + seconds
-    if until <= max(now, view.rest_until):
+    if until <= max(now, view.backoff_until):
         return
-    view.rest_until = until
+    view.backoff_until = until
     logger.warning(
         "upstream asks for rest",
         extra={"upstream": view.upstream.name, "seconds": round(seconds, 3)},
     )
 
 
-def is_resting(view: UpstreamView, now: float) -> bool:
+def is_backing_off(view: UpstreamView, now: float) -> bool:
     """Tell whether an upstream wants nothing from this box right now."""
-    return now < view.rest_until
+    return now < view.backoff_until
 
 
-def first_wait(views: Iterable[UpstreamView], now: float) -> float | None:
+def min_remaining_wait(views: Iterable[UpstreamView], now: float) -> float | None:
     """Return when the first of some upstreams wants work again, in seconds.
 
     Returns:
         None if one of them wants some, or there are none. Those that leave count for nothing.
     """
     waits = [
-        view_wait(view, now) for view in views if not (view.listed_leaving or view.said_leaving)
+        remaining_wait(view, now)
+        for view in views
+        if not (view.listed_draining or view.reported_draining)
     ]
     return min(waits) if waits and min(waits) > 0 else None
 
 
-def attach_limit(table: UpstreamTable, name: str, held: HeldLimit | None) -> None:
+def set_limit(table: UpstreamTable, name: str, limit: GrantedLimit | None) -> None:
     """Give an upstream its limit, or take it away, if the configuration names it."""
     view = table.views.get(name)
     if view is not None:
-        view.limit = held
+        view.limit = limit
 
 
-def view_wait(view: UpstreamView, now: float) -> float:
+def remaining_wait(view: UpstreamView, now: float) -> float:
     """Return when an upstream wants work again, as far as it said so, in seconds; 0 if it does."""
-    return max(0.0, view.rest_until - now, grant_wait(view.limit, now))
+    return max(0.0, view.backoff_until - now, grant_wait(view.limit, now))
 
 
-def usable(view: UpstreamView, now: float, within: float = 0.0) -> bool:
+def is_usable(view: UpstreamView, now: float, within: float = 0.0) -> bool:
     """Tell whether new work may go to an upstream, now or within some seconds."""
-    if view_wait(view, now) > within:
+    if remaining_wait(view, now) > within:
         return False
-    if view.listed_leaving or view.said_leaving or view.reported_down:
+    if view.listed_draining or view.reported_draining or view.reported_down:
         return False
     return now + within >= view.suspect_until
 
 
-def take_report(view: UpstreamView, *, live: bool, leaving: bool, running: int) -> None:
+def apply_report(view: UpstreamView, *, live: bool, draining: bool, running: int) -> None:
     """Take over what a watching box saw of an upstream.
 
     Args:
         view: The upstream.
         live: Whether it answered.
-        leaving: Whether it said that it is leaving.
+        draining: Whether it said that it is leaving.
         running: Requests that it said to be working on.
     """
     view.reported_down = not live
     if live:
-        view.said_leaving = leaving
+        view.reported_draining = draining
         view.reported_load = running
 
 
-def take_box_list(table: UpstreamTable, leaving: set[str]) -> None:
+def apply_draining_list(table: UpstreamTable, draining: set[str]) -> None:
     """Take over the platform's list of leaving upstreams.
 
     Args:
         table: The table.
-        leaving: Addresses that the list calls leaving.
+        draining: Addresses that the list calls leaving.
     """
     for view in table.views.values():
-        view.listed_leaving = view.upstream.address in leaving
+        view.listed_draining = view.upstream.address in draining
 
 
-def suspects(table: UpstreamTable, now: float) -> list[UpstreamView]:
+def suspected_engines(table: UpstreamTable, now: float) -> list[UpstreamView]:
     """Return the engines that are passed over until they answer a probe, and want to be asked."""
     return [
         view
         for view in table.views.values()
         if view.upstream.kind is UpstreamKind.ENGINE
         and now < view.suspect_until
-        and not is_resting(view, now)
+        and not is_backing_off(view, now)
     ]
--- a/tests/coordination/test_rate_lending.py
+++ b/tests/coordination/test_rate_lending.py
@@ -27,12 +27,12 @@
     RateLimit,
 )
 from ledgeladder.routing.rate_grants import (
-    ASK_SECONDS,
-    HeldLimit,
+    REQUEST_INTERVAL_SECONDS,
+    GrantedLimit,
+    acquire_grants,
     add_grants,
-    grants_to_ask,
-    share_of,
-    take_grants,
+    grants_to_request,
+    split_evenly,
 )
 
 WINDOW_SECONDS = 4.0
@@ -57,8 +57,8 @@
         self.rng = random.Random(seed)
         self.rate, self.voters = rate, voters
         self.ledgers = [RateLedger(limit=unexpiring(rate), refilled_at=0.0) for _ in range(voters)]
-        self.held = [HeldLimit(limit=unexpiring(rate)) for _ in range(boxes)]
-        self.asked_at = [self.rng.uniform(-ASK_SECONDS, 0.0) for _ in range(boxes)]
+        self.held = [GrantedLimit(limit=unexpiring(rate)) for _ in range(boxes)]
+        self.asked_at = [self.rng.uniform(-REQUEST_INTERVAL_SECONDS, 0.0) for _ in range(boxes)]
         self.replies: deque[tuple[float, int, float, int]] = deque()
         self.calls = 0
         self.sent: list[float] = []
@@ -80,19 +80,19 @@
         for box, probability in enumerate(callers):
             if self.rng.random() >= probability:
                 continue
-            self.held[box].wanted += 1
-            if take_grants([self.held[box]], now):
+            self.held[box].demand += 1
+            if acquire_grants([self.held[box]], now):
                 self.sent.append(now)
         for box, held in enumerate(self.held):
-            if held.wanted and now - self.asked_at[box] >= ASK_SECONDS:
+            if held.demand and now - self.asked_at[box] >= REQUEST_INTERVAL_SECONDS:
                 self.ask(box, now)
 
     def ask(self, box: int, now: float) -> None:
         self.asked_at[box] = now
-        wanted = grants_to_ask(self.held[box])
+        wanted = grants_to_request(self.held[box])
         turn = self.calls
         for number, voter in enumerate(self.ledgers):
-            share = share_of(wanted, (number + turn) % self.voters, self.voters)
+            share = split_evenly(wanted, (number + turn) % self.voters, self.voters)
             if share:
                 self.calls += 1
                 self.ask_voter(voter, box, share, now)
@@ -111,7 +111,9 @@
                 limit=unexpiring(self.rate), refilled_at=now
             )
         if self.rng.random() < 0.01:
-            self.held[self.rng.randrange(len(self.held))] = HeldLimit(limit=unexpiring(self.rate))
+            self.held[self.rng.randrange(len(self.held))] = GrantedLimit(
+                limit=unexpiring(self.rate)
+            )
 
     def run(self, callers: list[float], seconds: float = RUN_SECONDS) -> None:
         for number in range(int(seconds / 0.01)):
--- a/tests/daemons/gateway/test_rate_limits.py
+++ b/tests/daemons/gateway/test_rate_limits.py
@@ -176,7 +176,7 @@
         call = next(request.call for box in boxes for request in box.requests)
         handle_grant_reply(limit_keeper_of(state), reply(call, 1))
         assert accepts_work(upstream, anyio.current_time())
-        assert not accepts_work(upstream, state.table.limits.asked_at + GRANT_TTL_SECONDS)
+        assert not accepts_work(upstream, state.table.limits.requested_at + GRANT_TTL_SECONDS)
         # A duplicate reply, or one to an unknown request, grants nothing.
         handle_grant_reply(limit_keeper_of(state), reply(call, 1))
         handle_grant_reply(limit_keeper_of(state), reply(99, 1))
--- a/tests/routing/test_rate_grants.py
+++ b/tests/routing/test_rate_grants.py
@@ -19,21 +19,21 @@
     remaining_wait,
 )
 from ledgeladder.routing.rate_grants import (
-    HeldLimit,
+    GrantedLimit,
+    acquire_grants,
     add_grants,
     grant_wait,
-    grants_to_ask,
+    grants_to_request,
     has_grant,
-    take_grants,
 )
 from ledgeladder.routing.service_choice import choose_service
 
 
-def held(rate: float = 2.0) -> HeldLimit:
-    return HeldLimit(limit=RateLimit(rate=rate, advertised_at=0.0))
+def held(rate: float = 2.0) -> GrantedLimit:
+    return GrantedLimit(limit=RateLimit(rate=rate, advertised_at=0.0))
 
 
-def upstream(name: str, limit: HeldLimit | None = None) -> ForwardedUpstream:
+def upstream(name: str, limit: GrantedLimit | None = None) -> ForwardedUpstream:
     registration = Registration(instance=name, sequence=1, address=f"{name}:80", slots=6)
     return ForwardedUpstream(registration=registration, last_seen=0.0, limit=limit)
 
@@ -42,16 +42,16 @@
     limit = held()
     assert not has_grant(limit, 1.0)
     add_grants(limit, 2, 2.0)
-    assert take_grants([limit], 1.0)
+    assert acquire_grants([limit], 1.0)
     assert has_grant(limit, 1.9)
     assert not has_grant(limit, 2.0)
-    assert not take_grants([limit], 2.0)
+    assert not acquire_grants([limit], 2.0)
 
 
 def test_upstream_without_a_limit_gets_anything() -> None:
     assert has_grant(None, 1.0)
-    assert take_grants([None], 1.0)
-    ended = HeldLimit(limit=RateLimit(rate=2.0, advertised_at=0.0, withdrawn_at=1.0))
+    assert acquire_grants([None], 1.0)
+    ended = GrantedLimit(limit=RateLimit(rate=2.0, advertised_at=0.0, withdrawn_at=1.0))
     assert not has_grant(ended, 1.5)
     assert has_grant(ended, 1.0 + RECOVERY_SECONDS)
 
@@ -59,21 +59,21 @@
 def test_path_over_two_limited_engines_takes_a_request_of_each_or_none() -> None:
     first, second = held(), held()
     add_grants(first, 1, 5.0)
-    assert not take_grants([first, None, second], 1.0)
+    assert not acquire_grants([first, None, second], 1.0)
     assert has_grant(first, 1.0)
     add_grants(second, 1, 5.0)
-    assert take_grants([first, None, second], 1.0)
+    assert acquire_grants([first, None, second], 1.0)
     assert not has_grant(first, 1.0)
 
 
 def test_box_asks_for_what_it_uses_and_one_more() -> None:
     limit = held(50.0)
-    limit.wanted = 100
-    assert grants_to_ask(limit) == 1
-    limit.wanted, limit.used = 100, 3
-    assert grants_to_ask(limit) == 7
-    limit.wanted = 0
-    assert grants_to_ask(limit) == 0
+    limit.demand = 100
+    assert grants_to_request(limit) == 1
+    limit.demand, limit.used = 100, 3
+    assert grants_to_request(limit) == 7
+    limit.demand = 0
+    assert grants_to_request(limit) == 0
 
 
 def test_service_with_a_limit_is_chosen_only_while_it_was_lent_a_request() -> None:
