--- a/src/ledgeladder/coordination/raft/__init__.py
+++ b/src/ledgeladder/coordination/raft/__init__.py
@@ -16,17 +16,16 @@
         propose,
         propose_members,
         receive,
+        record_synced,
         restore_replica,
-        synced,
         take_ready,
         tick,
     )
-    from .election import give_up_lead, holds_lease, lease_until, quorum, start_handover
+    from .election import holds_lease, lease_until, quorum, step_down, transfer_leadership
     from .log import RaftLog
     from .messages import (
         AppendReply,
         AppendRequest,
-        ElectNow,
         EntryKind,
         Envelope,
         HardState,
@@ -35,16 +34,17 @@
         Message,
         Snapshot,
         SnapshotRequest,
+        TimeoutNow,
         VoteReply,
         VoteRequest,
     )
     from .replica import Progress, Ready, Replica, Role, Timing
-    from .replication import offer_snapshot
+    from .replication import send_snapshot
 
 __all__ = [
     "AppendReply",
     "AppendRequest",
-    "ElectNow",
+    "TimeoutNow",
     "EntryKind",
     "Envelope",
     "HardState",
@@ -62,18 +62,18 @@
     "VoteReply",
     "VoteRequest",
     "flush",
-    "give_up_lead",
+    "step_down",
     "holds_lease",
     "lease_until",
     "next_due",
-    "offer_snapshot",
+    "send_snapshot",
     "propose",
     "propose_members",
     "quorum",
     "receive",
     "restore_replica",
-    "start_handover",
-    "synced",
+    "transfer_leadership",
+    "record_synced",
     "take_ready",
     "tick",
 ]
@@ -85,18 +85,18 @@
     "propose_members": "core",
     "receive": "core",
     "restore_replica": "core",
-    "synced": "core",
+    "record_synced": "core",
     "take_ready": "core",
     "tick": "core",
-    "give_up_lead": "election",
+    "step_down": "election",
     "holds_lease": "election",
     "lease_until": "election",
     "quorum": "election",
-    "start_handover": "election",
+    "transfer_leadership": "election",
     "RaftLog": "log",
     "AppendReply": "messages",
     "AppendRequest": "messages",
-    "ElectNow": "messages",
+    "TimeoutNow": "messages",
     "EntryKind": "messages",
     "Envelope": "messages",
     "HardState": "messages",
@@ -112,7 +112,7 @@
     "Replica": "replica",
     "Role": "replica",
     "Timing": "replica",
-    "offer_snapshot": "replication",
+    "send_snapshot": "replication",
 }
 """Module of each name."""
 
--- a/src/ledgeladder/coordination/raft/core.py
+++ b/src/ledgeladder/coordination/raft/core.py
@@ -12,20 +12,19 @@
 import msgspec
 
 from .election import (
-    append_own,
+    append_entry,
     become_follower,
     check_quorum,
     receive_vote_reply,
     receive_vote_request,
     reset_election_timer,
     start_election,
-    start_trial,
+    start_pre_vote,
 )
 from .log import RaftLog
 from .messages import (
     AppendReply,
     AppendRequest,
-    ElectNow,
     EntryKind,
     Envelope,
     HardState,
@@ -33,6 +32,7 @@
     Members,
     Snapshot,
     SnapshotRequest,
+    TimeoutNow,
     VoteReply,
     VoteRequest,
 )
@@ -86,9 +86,9 @@
         hard_state=hard_state,
         log=log,
         commit_index=log.base_index,
-        handed_over_index=log.base_index,
+        delivered_index=log.base_index,
         synced_index=log.last_index,
-        leader_heard_at=now,
+        leader_last_seen_at=now,
     )
     reset_election_timer(replica, now, rng)
     return replica
@@ -104,14 +104,14 @@
     """
     if replica.is_leader:
         check_quorum(replica, now, rng)
-        if replica.handover_target and now >= replica.handover_until:
+        if replica.transfer_target and now >= replica.transfer_deadline:
             # The target may still stand at any time, so the lease cannot be taken up again.
             become_follower(replica, replica.term, "", now, rng)
         if replica.is_leader and now >= replica.heartbeat_due:
             broadcast(replica, now)
         return
     if now >= replica.election_due:
-        start_trial(replica, now, rng)
+        start_pre_vote(replica, now, rng)
 
 
 def next_due(replica: Replica) -> float:
@@ -142,9 +142,9 @@
             receive_append_reply(replica, sender, message, now, rng)
         case SnapshotRequest():
             receive_snapshot(replica, sender, message, now, rng)
-        case ElectNow():
+        case TimeoutNow():
             if message.term == replica.term and replica.role is Role.FOLLOWER:
-                start_election(replica, now, rng, handover=True)
+                start_election(replica, now, rng, leadership_transfer=True)
 
 
 def propose(replica: Replica, data: bytes) -> int | None:
@@ -158,9 +158,9 @@
         The index at which the command will be committed, unless another leader replaces it first;
         None if this member does not lead or is handing over.
     """
-    if not replica.is_leader or replica.handover_target:
+    if not replica.is_leader or replica.transfer_target:
         return None
-    return append_own(replica, EntryKind.COMMAND, data)
+    return append_entry(replica, EntryKind.COMMAND, data)
 
 
 def propose_members(replica: Replica, members: Members) -> bool:
@@ -174,7 +174,7 @@
         False if this member does not lead, if an earlier change is not committed yet, if nothing
         of the current term is committed yet, or if more than one voter would change.
     """
-    if not replica.is_leader or replica.handover_target:
+    if not replica.is_leader or replica.transfer_target:
         return False
     if replica.log.members_index > replica.commit_index:
         return False
@@ -182,7 +182,7 @@
         return False
     if len(set(members.voters) ^ set(replica.log.members.voters)) > 1 or not members.voters:
         return False
-    append_own(replica, EntryKind.MEMBERS, msgspec.msgpack.encode(members))
+    append_entry(replica, EntryKind.MEMBERS, msgspec.msgpack.encode(members))
     return True
 
 
@@ -203,26 +203,26 @@
     """
     committed: tuple[LogEntry, ...] = ()
     last = min(replica.commit_index, replica.log.last_index)
-    if last > replica.handed_over_index:
-        committed = replica.log.between(replica.handed_over_index + 1, last)
-        replica.handed_over_index = last
+    if last > replica.delivered_index:
+        committed = replica.log.between(replica.delivered_index + 1, last)
+        replica.delivered_index = last
     ready = Ready(
         hard_state=replica.hard_state if replica.hard_state_dirty else None,
         snapshot=replica.incoming_snapshot,
         entries=tuple(replica.unsynced_entries),
         messages=tuple(replica.outbox),
         committed=committed,
-        snapshots_wanted=tuple(replica.snapshots_wanted),
+        snapshot_targets=tuple(replica.snapshot_targets),
     )
     replica.hard_state_dirty = False
     replica.incoming_snapshot = None
     replica.unsynced_entries.clear()
     replica.outbox.clear()
-    replica.snapshots_wanted.clear()
+    replica.snapshot_targets.clear()
     return ready
 
 
-def synced(replica: Replica, ready: Ready, now: float, rng: random.Random) -> None:
+def record_synced(replica: Replica, ready: Ready, now: float, rng: random.Random) -> None:
     """Note that the entries of a `Ready` are on disk.
 
     Args:
--- a/src/ledgeladder/coordination/raft/election.py
+++ b/src/ledgeladder/coordination/raft/election.py
@@ -10,11 +10,11 @@
 from typing import TYPE_CHECKING, Final
 
 from .messages import (
-    ElectNow,
     EntryKind,
     Envelope,
     HardState,
     LogEntry,
+    TimeoutNow,
     VoteReply,
     VoteRequest,
 )
@@ -24,7 +24,7 @@
     from .messages import Message
 
 
-FRESH_SHARE: Final = 0.1
+NEWLY_STARTED_TIMEOUT_FACTOR: Final = 0.1
 """Part of an election time-out after which a member that has just started asks whether all others
 have, too: 0.06 to 0.12 s, where links are up after 0.055 s and a vote takes a few milliseconds.
 Where they have, a leader is there 0.6 s sooner than after the silence that protects a lease. With a
@@ -53,8 +53,8 @@
 
     A fresh member asks sooner: if all others are fresh too, nobody leads.
     """
-    share = FRESH_SHARE if replica.fresh else 1.0
-    replica.election_due = now + share * replica.timing.election * (1.0 + rng.random())
+    share = NEWLY_STARTED_TIMEOUT_FACTOR if replica.newly_started else 1.0
+    replica.election_due = now + share * replica.timing.election_timeout * (1.0 + rng.random())
 
 
 def become_follower(
@@ -75,20 +75,20 @@
     replica.leader_id = leader_id
     replica.progress.clear()
     replica.votes.clear()
-    replica.handover_target = ""
+    replica.transfer_target = ""
     reset_election_timer(replica, now, rng)
 
 
-def start_trial(replica: Replica, now: float, rng: random.Random) -> None:
+def start_pre_vote(replica: Replica, now: float, rng: random.Random) -> None:
     """Ask whether an election could be won, without raising the term."""
     reset_election_timer(replica, now, rng)
     if not replica.is_voter:
         return
-    replica.role = Role.TRIAL_CANDIDATE
+    replica.role = Role.PRE_CANDIDATE
     replica.leader_id = ""
     replica.votes = {replica.member_id: True}
-    replica.fresh_voters = {replica.member_id} if replica.fresh else set()
-    _ask_for_votes(replica, term=replica.term + 1, trial=True)
+    replica.newly_started_voters = {replica.member_id} if replica.newly_started else set()
+    _request_votes(replica, term=replica.term + 1, pre_vote=True)
     _count_votes(replica, now, rng)
 
 
@@ -97,7 +97,7 @@
     now: float,
     rng: random.Random,
     *,
-    handover: bool = False,
+    leadership_transfer: bool = False,
     unanimous: bool = False,
 ) -> None:
     """Raise the term and ask for votes.
@@ -106,7 +106,7 @@
         replica: The member.
         now: Monotonic time in seconds.
         rng: Source of the election time-out.
-        handover: True if the old leader asked for it.
+        leadership_transfer: True if the old leader asked for it.
         unanimous: True if all voters have just started, so that nobody leads: their votes are taken
             before the time-out that protects a lease, and all of them are needed.
     """
@@ -118,19 +118,30 @@
     replica.needs_all_votes = unanimous
     set_hard_state(replica, replica.term + 1, replica.member_id)
     replica.votes = {replica.member_id: True}
-    _ask_for_votes(replica, term=replica.term, trial=False, handover=handover, unanimous=unanimous)
+    _request_votes(
+        replica,
+        term=replica.term,
+        pre_vote=False,
+        leadership_transfer=leadership_transfer,
+        unanimous=unanimous,
+    )
     _count_votes(replica, now, rng)
 
 
-def _ask_for_votes(
-    replica: Replica, *, term: int, trial: bool, handover: bool = False, unanimous: bool = False
+def _request_votes(
+    replica: Replica,
+    *,
+    term: int,
+    pre_vote: bool,
+    leadership_transfer: bool = False,
+    unanimous: bool = False,
 ) -> None:
     request = VoteRequest(
         term=term,
         last_index=replica.log.last_index,
         last_term=replica.log.last_term,
-        trial=trial,
-        handover=handover,
+        pre_vote=pre_vote,
+        leadership_transfer=leadership_transfer,
         unanimous=unanimous,
     )
     for voter in replica.log.members.voters:
@@ -145,32 +156,32 @@
     needed = len(voters) if is_real and replica.needs_all_votes else quorum(len(voters))
     if granted < needed:
         return
-    if replica.role is Role.TRIAL_CANDIDATE:
+    if replica.role is Role.PRE_CANDIDATE:
         # The own vote is bound by the own silence as those of others are.
-        if now >= replica.leader_heard_at + replica.timing.election:
+        if now >= replica.leader_last_seen_at + replica.timing.election_timeout:
             start_election(replica, now, rng)
     elif replica.role is Role.CANDIDATE:
         _become_leader(replica, now)
 
 
 def _become_leader(replica: Replica, now: float) -> None:
-    replica.fresh = False
+    replica.newly_started = False
     replica.role = Role.LEADER
     replica.leader_id = replica.member_id
-    replica.handover_target = ""
+    replica.transfer_target = ""
     replica.lease_forfeited = False
     replica.round_sent_at.clear()
     replica.progress = {
-        member: Progress(next_index=replica.log.last_index + 1, heard_at=now)
-        for member in replica.log.members.everyone
+        member: Progress(next_index=replica.log.last_index + 1, last_seen_at=now)
+        for member in replica.log.members.all_ids
         if member != replica.member_id
     }
     replica.heartbeat_due = now
     # Entries of earlier terms commit only under an entry of this term (Raft, section 5.4.2).
-    append_own(replica, EntryKind.BARRIER, b"")
+    append_entry(replica, EntryKind.BARRIER, b"")
 
 
-def append_own(replica: Replica, kind: EntryKind, data: bytes) -> int:
+def append_entry(replica: Replica, kind: EntryKind, data: bytes) -> int:
     """Append one entry to the leader's own log.
 
     Args:
@@ -191,7 +202,7 @@
 
 def track_members(replica: Replica) -> None:
     """Start and stop replicating to members as the newest members say."""
-    wanted = set(replica.log.members.everyone) - {replica.member_id}
+    wanted = set(replica.log.members.all_ids) - {replica.member_id}
     for member in wanted - set(replica.progress):
         replica.progress[member] = Progress(next_index=replica.log.last_index + 1)
     for member in set(replica.progress) - wanted:
@@ -208,29 +219,35 @@
     a heartbeat votes for nobody else until the lease that the answer gave has run out. A member
     that has just started counts as having heard a leader, since it may have before it stopped.
     """
-    recently_heard = now < replica.leader_heard_at + replica.timing.election
-    agreed = request.handover or (request.unanimous and replica.fresh)
-    if recently_heard and not agreed:
-        _tell_fresh(replica, sender, request)
+    leader_recently_seen = now < replica.leader_last_seen_at + replica.timing.election_timeout
+    agreed = request.leadership_transfer or (request.unanimous and replica.newly_started)
+    if leader_recently_seen and not agreed:
+        _send_newly_started(replica, sender, request)
         return
-    if request.term > replica.term and not request.trial:
+    if request.term > replica.term and not request.pre_vote:
         become_follower(replica, request.term, "", now, rng)
     if request.term < replica.term:
-        send(replica, sender, VoteReply(term=replica.term, trial=request.trial, granted=False))
+        send(
+            replica, sender, VoteReply(term=replica.term, pre_vote=request.pre_vote, granted=False)
+        )
         return
     up_to_date = _is_up_to_date(replica, request)
-    if request.trial:
+    if request.pre_vote:
         granted = up_to_date and request.term > replica.term
         # A refusal carries the own term, lest a mere trial raise the term of whoever asked.
         term = request.term if granted else replica.term
-        fresh = granted and replica.fresh
-        send(replica, sender, VoteReply(term=term, trial=True, granted=granted, fresh=fresh))
+        newly_started = granted and replica.newly_started
+        send(
+            replica,
+            sender,
+            VoteReply(term=term, pre_vote=True, granted=granted, newly_started=newly_started),
+        )
         return
     granted = up_to_date and replica.hard_state.voted_for in ("", sender)
     if granted and not replica.hard_state.voted_for:
         set_hard_state(replica, replica.term, sender)
         reset_election_timer(replica, now, rng)
-    send(replica, sender, VoteReply(term=replica.term, trial=False, granted=granted))
+    send(replica, sender, VoteReply(term=replica.term, pre_vote=False, granted=granted))
 
 
 def _is_up_to_date(replica: Replica, request: VoteRequest) -> bool:
@@ -239,11 +256,11 @@
     return (request.last_term, request.last_index) >= own
 
 
-def _tell_fresh(replica: Replica, sender: str, request: VoteRequest) -> None:
+def _send_newly_started(replica: Replica, sender: str, request: VoteRequest) -> None:
     """Answer a trial that the member would grant but for its silence after a start."""
     would_grant = _is_up_to_date(replica, request) and request.term > replica.term
-    if request.trial and replica.fresh and would_grant:
-        reply = VoteReply(term=request.term, trial=True, granted=False, fresh=True)
+    if request.pre_vote and replica.newly_started and would_grant:
+        reply = VoteReply(term=request.term, pre_vote=True, granted=False, newly_started=True)
         send(replica, sender, reply)
 
 
@@ -251,14 +268,14 @@
     replica: Replica, sender: str, reply: VoteReply, now: float, rng: random.Random
 ) -> None:
     """Count a vote."""
-    expected_role = Role.TRIAL_CANDIDATE if reply.trial else Role.CANDIDATE
-    expected_term = replica.term + 1 if reply.trial else replica.term
-    if reply.fresh and replica.role is expected_role and reply.term == expected_term:
-        replica.fresh_voters.add(sender)
-        if replica.fresh_voters.issuperset(replica.log.members.voters):
+    expected_role = Role.PRE_CANDIDATE if reply.pre_vote else Role.CANDIDATE
+    expected_term = replica.term + 1 if reply.pre_vote else replica.term
+    if reply.newly_started and replica.role is expected_role and reply.term == expected_term:
+        replica.newly_started_voters.add(sender)
+        if replica.newly_started_voters.issuperset(replica.log.members.voters):
             start_election(replica, now, rng, unanimous=True)
             return
-    if reply.fresh and not reply.granted:
+    if reply.newly_started and not reply.granted:
         return
     if not reply.granted and reply.term > replica.term:
         become_follower(replica, reply.term, "", now, rng)
@@ -291,7 +308,7 @@
         answered_at.append(replica.round_sent_at.get(answered_round, float("-inf")))
     answered_at.sort(reverse=True)
     needed = quorum(len(answered_at))
-    return answered_at[needed - 1] + replica.timing.lease
+    return answered_at[needed - 1] + replica.timing.lease_duration
 
 
 def holds_lease(replica: Replica, now: float) -> bool:
@@ -301,19 +318,19 @@
 
 def check_quorum(replica: Replica, now: float, rng: random.Random) -> None:
     """Step down if no majority answered within the longest election time-out."""
-    limit = now - 2 * replica.timing.election
+    limit = now - 2 * replica.timing.election_timeout
     voters = replica.log.members.voters
     alive = sum(
         1
         for voter in voters
         if voter == replica.member_id
-        or (voter in replica.progress and replica.progress[voter].heard_at >= limit)
+        or (voter in replica.progress and replica.progress[voter].last_seen_at >= limit)
     )
     if alive < quorum(len(voters)):
         become_follower(replica, replica.term, "", now, rng)
 
 
-def start_handover(replica: Replica, target: str, now: float) -> bool:
+def transfer_leadership(replica: Replica, target: str, now: float) -> bool:
     """Begin to hand the leadership to a voter.
 
     Args:
@@ -328,21 +345,21 @@
         return False
     if target not in replica.log.members.voters:
         return False
-    replica.handover_target = target
-    replica.handover_until = now + 2 * replica.timing.election
+    replica.transfer_target = target
+    replica.transfer_deadline = now + 2 * replica.timing.election_timeout
     replica.lease_forfeited = True
-    ask_target_to_stand(replica)
+    send_timeout_now(replica)
     return True
 
 
-def ask_target_to_stand(replica: Replica) -> None:
+def send_timeout_now(replica: Replica) -> None:
     """Tell the hand-over target to stand as soon as it holds the whole log."""
-    progress = replica.progress.get(replica.handover_target)
+    progress = replica.progress.get(replica.transfer_target)
     if progress is not None and progress.match_index == replica.log.last_index:
-        send(replica, replica.handover_target, ElectNow(term=replica.term))
+        send(replica, replica.transfer_target, TimeoutNow(term=replica.term))
 
 
-def give_up_lead(replica: Replica, now: float, rng: random.Random) -> Envelope | None:
+def step_down(replica: Replica, now: float, rng: random.Random) -> Envelope | None:
     """Stop leading at once, without a word to the disk.
 
     Args:
@@ -361,17 +378,17 @@
     become_follower(replica, replica.term, "", now, rng)
     if target is None:
         return None
-    message = ElectNow(term=replica.term)
+    message = TimeoutNow(term=replica.term)
     return Envelope(sender=replica.member_id, target=target, message=message)
 
 
-def note_round(replica: Replica, now: float) -> int:
+def start_heartbeat_round(replica: Replica, now: float) -> int:
     """Open a new heartbeat round and remember when it was sent."""
     replica.round += 1
     replica.round_sent_at[replica.round] = now
     # A round older than the lease cannot extend it any more.
     oldest = next(iter(replica.round_sent_at))
-    while replica.round_sent_at[oldest] < now - replica.timing.lease:
+    while replica.round_sent_at[oldest] < now - replica.timing.lease_duration:
         del replica.round_sent_at[oldest]
         oldest = next(iter(replica.round_sent_at))
     return replica.round
@@ -385,7 +402,7 @@
     """
     if term < replica.term:
         return False
-    replica.fresh = False
+    replica.newly_started = False
     become_follower(replica, term, sender, now, rng)
-    replica.leader_heard_at = now
+    replica.leader_last_seen_at = now
     return True
--- a/src/ledgeladder/coordination/raft/log.py
+++ b/src/ledgeladder/coordination/raft/log.py
@@ -26,7 +26,7 @@
     """Index and members of each members entry in `entries`."""
 
     def __post_init__(self) -> None:
-        self._note_members(self.entries)
+        self._record_members(self.entries)
 
     @property
     def last_index(self) -> int:
@@ -90,7 +90,7 @@
     def append(self, entries: tuple[LogEntry, ...]) -> None:
         """Add entries that follow the last one."""
         self.entries.extend(entries)
-        self._note_members(entries)
+        self._record_members(entries)
 
     def truncate(self, first: int) -> None:
         """Drop the entry at `first` and all after it."""
@@ -113,7 +113,7 @@
         self.member_changes.clear()
         self.base_index, self.base_term, self.base_members = index, term, members
 
-    def _note_members(self, entries: list[LogEntry] | tuple[LogEntry, ...]) -> None:
+    def _record_members(self, entries: list[LogEntry] | tuple[LogEntry, ...]) -> None:
         for entry in entries:
             if entry.kind is EntryKind.MEMBERS:
                 members = msgspec.msgpack.decode(entry.data, type=Members)
--- a/src/ledgeladder/coordination/raft/messages.py
+++ b/src/ledgeladder/coordination/raft/messages.py
@@ -46,7 +46,7 @@
     """Member ids that receive the log and count for nothing."""
 
     @property
-    def everyone(self) -> tuple[str, ...]:
+    def all_ids(self) -> tuple[str, ...]:
         """Voters and learners."""
         return self.voters + self.learners
 
@@ -73,10 +73,10 @@
     term: int
     last_index: int
     last_term: int
-    trial: bool
+    pre_vote: bool
     """True for a pre-vote, which changes nothing at the receiver."""
 
-    handover: bool = False
+    leadership_transfer: bool = False
     """True if the old leader asked for this election, so that its lease has been given up."""
 
     unanimous: bool = False
@@ -88,10 +88,10 @@
     """Answer to a vote request."""
 
     term: int
-    trial: bool
+    pre_vote: bool
     granted: bool
 
-    fresh: bool = False
+    newly_started: bool = False
     """True if the voter has not heard a leader since its process started."""
 
 
@@ -126,13 +126,13 @@
     round: int
 
 
-class ElectNow(msgspec.Struct, frozen=True, kw_only=True, tag="elect!", array_like=True):
+class TimeoutNow(msgspec.Struct, frozen=True, kw_only=True, tag="elect!", array_like=True):
     """A leader that hands over asks the target to start an election at once."""
 
     term: int
 
 
-Message = VoteRequest | VoteReply | AppendRequest | AppendReply | SnapshotRequest | ElectNow
+Message = VoteRequest | VoteReply | AppendRequest | AppendReply | SnapshotRequest | TimeoutNow
 
 
 class Envelope(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
--- a/src/ledgeladder/coordination/raft/replica.py
+++ b/src/ledgeladder/coordination/raft/replica.py
@@ -14,7 +14,7 @@
     """What a member currently is."""
 
     FOLLOWER = "follower"
-    TRIAL_CANDIDATE = "trial-candidate"
+    PRE_CANDIDATE = "trial-candidate"
     CANDIDATE = "candidate"
     LEADER = "leader"
 
@@ -22,13 +22,13 @@
 class Timing(msgspec.Struct, frozen=True, kw_only=True):
     """Intervals of the protocol, in seconds on the monotonic clock."""
 
-    heartbeat: float = 0.1
+    heartbeat_interval: float = 0.1
     """Time between heartbeats of a leader."""
 
-    election: float = 0.5
+    election_timeout: float = 0.5
     """Least silence after which a follower stands for election; at most twice this."""
 
-    lease: float = 0.4
+    lease_duration: float = 0.4
     """How long a leader may act after a quorum answered; below `election` by the clock drift."""
 
 
@@ -44,7 +44,7 @@
     answered_round: int = 0
     """Newest heartbeat round that the member answered."""
 
-    heard_at: float = 0.0
+    last_seen_at: float = 0.0
     """When the member last answered."""
 
     awaiting_snapshot: bool = False
@@ -78,7 +78,7 @@
     commit_index: int = 0
     """Last entry known to be committed."""
 
-    handed_over_index: int = 0
+    delivered_index: int = 0
     """Last committed entry that was given to the driver."""
 
     synced_index: int = 0
@@ -90,10 +90,10 @@
     progress: dict[str, Progress] = msgspec.field(default_factory=dict)
     """Other members, while leading."""
 
-    fresh: bool = True
+    newly_started: bool = True
     """True until it leads or hears a leader for the first time since its process started."""
 
-    fresh_voters: set[str] = msgspec.field(default_factory=set)
+    newly_started_voters: set[str] = msgspec.field(default_factory=set)
     """Voters that said in the current trial that they are fresh."""
 
     needs_all_votes: bool = False
@@ -102,7 +102,7 @@
     election_due: float = 0.0
     """When to stand for election unless a leader is heard."""
 
-    leader_heard_at: float = 0.0
+    leader_last_seen_at: float = 0.0
     """When a leader was last heard; starts at the process start, see `election`."""
 
     heartbeat_due: float = 0.0
@@ -114,10 +114,10 @@
     round_sent_at: dict[int, float] = msgspec.field(default_factory=dict)
     """When recent rounds were sent."""
 
-    handover_target: str = ""
+    transfer_target: str = ""
     """Member that the leadership is being handed to."""
 
-    handover_until: float = 0.0
+    transfer_deadline: float = 0.0
     """When an unfinished hand-over is given up."""
 
     lease_forfeited: bool = False
@@ -135,7 +135,7 @@
     incoming_snapshot: Snapshot | None = None
     """Snapshot to write and to restore the state machine from."""
 
-    snapshots_wanted: list[str] = msgspec.field(default_factory=list)
+    snapshot_targets: list[str] = msgspec.field(default_factory=list)
     """Members that need the newest snapshot from this leader."""
 
     @property
@@ -175,5 +175,5 @@
     committed: tuple[LogEntry, ...]
     """Entries to apply to the state machine."""
 
-    snapshots_wanted: tuple[str, ...]
-    """Members to call `offer_snapshot` for."""
+    snapshot_targets: tuple[str, ...]
+    """Members to call `send_snapshot` for."""
--- a/src/ledgeladder/coordination/raft/replication.py
+++ b/src/ledgeladder/coordination/raft/replication.py
@@ -7,16 +7,16 @@
 
 from .election import (
     accept_leader,
-    ask_target_to_stand,
     become_follower,
-    note_round,
     quorum,
     send,
+    send_timeout_now,
+    start_heartbeat_round,
 )
 from .messages import AppendReply, AppendRequest, LogEntry, Snapshot, SnapshotRequest
 from .replica import Progress, Replica
 
-BATCH_LIMIT: Final = 512
+MAX_APPEND_ENTRIES: Final = 512
 """Most entries in one append request."""
 
 SNAPSHOT_RETRY_SECONDS: Final = 5.0
@@ -25,8 +25,8 @@
 
 def broadcast(replica: Replica, now: float) -> None:
     """Send every member what it lacks, or a heartbeat."""
-    note_round(replica, now)
-    replica.heartbeat_due = now + replica.timing.heartbeat
+    start_heartbeat_round(replica, now)
+    replica.heartbeat_due = now + replica.timing.heartbeat_interval
     for member, progress in replica.progress.items():
         send_append(replica, member, progress, now)
 
@@ -42,9 +42,9 @@
     """
     previous_term = replica.log.term_at(progress.next_index - 1)
     if previous_term is None:
-        _want_snapshot(replica, member, progress, now)
+        _request_snapshot(replica, member, progress, now)
         return
-    entries = replica.log.slice(progress.next_index, BATCH_LIMIT)
+    entries = replica.log.slice(progress.next_index, MAX_APPEND_ENTRIES)
     request = AppendRequest(
         term=replica.term,
         previous_index=progress.next_index - 1,
@@ -58,16 +58,16 @@
     send(replica, member, request)
 
 
-def _want_snapshot(replica: Replica, member: str, progress: Progress, now: float) -> None:
+def _request_snapshot(replica: Replica, member: str, progress: Progress, now: float) -> None:
     waited = now - progress.snapshot_sent_at
     if progress.awaiting_snapshot and waited < SNAPSHOT_RETRY_SECONDS:
         return
     progress.awaiting_snapshot = True
     progress.snapshot_sent_at = now
-    replica.snapshots_wanted.append(member)
+    replica.snapshot_targets.append(member)
 
 
-def offer_snapshot(replica: Replica, member: str, snapshot: Snapshot) -> None:
+def send_snapshot(replica: Replica, member: str, snapshot: Snapshot) -> None:
     """Send a member the newest snapshot, which the driver has read.
 
     Args:
@@ -151,7 +151,7 @@
         replica.unsynced_entries.clear()
         replica.incoming_snapshot = snapshot
         replica.commit_index = snapshot.index
-        replica.handed_over_index = snapshot.index
+        replica.delivered_index = snapshot.index
         replica.synced_index = snapshot.index
     _reply(replica, sender, request.round, accepted=True, index=replica.commit_index)
 
@@ -166,7 +166,7 @@
     progress = replica.progress.get(sender)
     if not replica.is_leader or reply.term != replica.term or progress is None:
         return
-    progress.heard_at = now
+    progress.last_seen_at = now
     progress.answered_round = max(progress.answered_round, reply.round)
     if not reply.accepted:
         progress.next_index = max(progress.match_index, reply.index) + 1
@@ -179,8 +179,8 @@
     progress.next_index = max(progress.next_index, progress.match_index + 1)
     if progress.next_index <= replica.log.last_index:
         send_append(replica, sender, progress, now)
-    if replica.handover_target == sender:
-        ask_target_to_stand(replica)
+    if replica.transfer_target == sender:
+        send_timeout_now(replica)
 
 
 def advance_commit(replica: Replica) -> None:
--- a/src/ledgeladder/coordination/voters.py
+++ b/src/ledgeladder/coordination/voters.py
@@ -50,7 +50,7 @@
         if inactive is not None:
             voters = tuple(voter for voter in members.voters if voter != inactive)
             return raft.Members(voters=voters, learners=members.learners)
-    new_learner = next((item for item in sorted(applicants) if item not in members.everyone), None)
+    new_learner = next((item for item in sorted(applicants) if item not in members.all_ids), None)
     if new_learner is None:
         return None
     return raft.Members(voters=members.voters, learners=(*members.learners, new_learner))
@@ -61,7 +61,7 @@
 ) -> raft.Members | None:
     """Replace the member of a box whose disk was wiped; its old id never returns."""
     for applicant in sorted(applicants):
-        if applicant in members.everyone:
+        if applicant in members.all_ids:
             continue
         box = box_of(applicant)
         voters = tuple(item for item in members.voters if box_of(item) != box)
@@ -75,13 +75,13 @@
 def _inactive_voter(replica: raft.Replica, now: float) -> str | None:
     for voter in replica.log.members.voters:
         progress = replica.progress.get(voter)
-        if progress is not None and progress.heard_at < now - VOTER_TIMEOUT_SECONDS:
+        if progress is not None and progress.last_seen_at < now - VOTER_TIMEOUT_SECONDS:
             return voter
     return None
 
 
 def _caught_up(replica: raft.Replica, learner: str, now: float) -> bool:
     progress = replica.progress.get(learner)
-    if progress is None or progress.heard_at < now - LEARNER_CONTACT_SECONDS:
+    if progress is None or progress.last_seen_at < now - LEARNER_CONTACT_SECONDS:
         return False
     return progress.match_index >= replica.commit_index > 0
--- a/src/ledgeladder/daemons/control/handover.py
+++ b/src/ledgeladder/daemons/control/handover.py
@@ -22,6 +22,6 @@
     if not voters:
         return False
     best = max(voters, key=lambda voter: replica.progress[voter].match_index)
-    started = raft.start_handover(replica, best, clock.now())
+    started = raft.transfer_leadership(replica, best, clock.now())
     node.notify()
     return started
--- a/src/ledgeladder/daemons/control/hub.py
+++ b/src/ledgeladder/daemons/control/hub.py
@@ -156,7 +156,7 @@
     replica = node.replica
     if replica.is_leader:
         return holds_lease(replica, clock.now())
-    return replica.is_voter and clock.now() - replica.leader_heard_at <= LEADER_CONTACT_SECONDS
+    return replica.is_voter and clock.now() - replica.leader_last_seen_at <= LEADER_CONTACT_SECONDS
 
 
 def push_configuration(hub: Hub, node: ControlNode) -> None:
@@ -201,7 +201,7 @@
 
 async def _request_membership(node: ControlNode, link: Link) -> None:
     while True:
-        if node.replica.member_id not in node.replica.log.members.everyone:
+        if node.replica.member_id not in node.replica.log.members.all_ids:
             link.post(JoinRequest(member_id=node.replica.member_id))
         await anyio.sleep(JOIN_INTERVAL_SECONDS)
 
--- a/src/ledgeladder/daemons/control/main.py
+++ b/src/ledgeladder/daemons/control/main.py
@@ -89,9 +89,9 @@
         voters = tuple(member_id(peer.name, INITIAL_INCARNATION) for peer in settings.controls)
     election = settings.control.election_seconds
     timing = raft.Timing(
-        heartbeat=settings.control.heartbeat_seconds,
-        election=election,
-        lease=election * LEASE_FRACTION,
+        heartbeat_interval=settings.control.heartbeat_seconds,
+        election_timeout=election,
+        lease_duration=election * LEASE_FRACTION,
     )
     node = open_node(
         identity=identity,
--- a/src/ledgeladder/daemons/control/members.py
+++ b/src/ledgeladder/daemons/control/members.py
@@ -37,7 +37,7 @@
             remaining = tuple(other for other in members.learners if other != learner)
             return raft.Members(voters=(*members.voters, learner), learners=remaining)
     for applicant in sorted(applicants):
-        if applicant in members.everyone:
+        if applicant in members.all_ids:
             continue
         box = box_of(applicant)
         voters = tuple(voter for voter in members.voters if box_of(voter) != box)
@@ -49,6 +49,6 @@
 
 def _caught_up(replica: raft.Replica, learner: str, now: float) -> bool:
     progress = replica.progress.get(learner)
-    if progress is None or progress.heard_at < now - LEARNER_SEEN_SECONDS:
+    if progress is None or progress.last_seen_at < now - LEARNER_SEEN_SECONDS:
         return False
     return progress.match_index >= replica.commit_index > 0
--- a/src/ledgeladder/daemons/control/node.py
+++ b/src/ledgeladder/daemons/control/node.py
@@ -249,11 +249,11 @@
             node.send(envelope)
         for entry in ready.committed:
             _apply(node, entry)
-        for target in ready.snapshots_wanted:
+        for target in ready.snapshot_targets:
             snapshot = load_snapshot(node.journal.folder)
             if snapshot is not None:
-                raft.offer_snapshot(node.replica, target, snapshot)
-        raft.synced(node.replica, ready, clock.now(), node.rng)
+                raft.send_snapshot(node.replica, target, snapshot)
+        raft.record_synced(node.replica, ready, clock.now(), node.rng)
     _log_leader_change(node)
     if not node.replica.is_leader:
         _release_waiters(node)
@@ -279,7 +279,7 @@
             raise
         if not node.disk_is_full:
             logger.error("disk is full", extra={"detail": error.problem.detail})
-            request = raft.give_up_lead(node.replica, clock.now(), node.rng)
+            request = raft.step_down(node.replica, clock.now(), node.rng)
             if request is not None:
                 node.send(request)
         node.unwritten = ready
@@ -309,7 +309,7 @@
         or ready.entries
         or ready.messages
         or ready.committed
-        or ready.snapshots_wanted
+        or ready.snapshot_targets
     )
 
 
@@ -388,7 +388,7 @@
     if not node.replica.is_leader:
         node.applicants.clear()
         return
-    node.applicants.difference_update(node.replica.log.members.everyone)
+    node.applicants.difference_update(node.replica.log.members.all_ids)
     members = node.choose_members(node.replica, node.applicants, now)
     if members is not None and raft.propose_members(node.replica, members):
         extra = {"voters": members.voters, "learners": members.learners}
--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -134,9 +134,9 @@
         folder=folder,
         initial_members=raft.Members(voters=voters),
         timing=raft.Timing(
-            heartbeat=settings.registry.heartbeat_seconds,
-            election=election,
-            lease=election * LEASE_SHARE,
+            heartbeat_interval=settings.registry.heartbeat_seconds,
+            election_timeout=election,
+            lease_duration=election * LEASE_SHARE,
         ),
         snapshot_entries=settings.registry.snapshot_entries,
         send=send,
--- a/src/ledgeladder/daemons/registry/peer_links.py
+++ b/src/ledgeladder/daemons/registry/peer_links.py
@@ -117,8 +117,8 @@
     """Request membership while this box is not a member or has no leader; runs until cancelled."""
     replica = state.node.replica
     while True:
-        has_leader = clock.now() - replica.leader_heard_at < LEADER_INACTIVITY_SECONDS
-        is_member = replica.member_id in replica.log.members.everyone
+        has_leader = clock.now() - replica.leader_last_seen_at < LEADER_INACTIVITY_SECONDS
+        is_member = replica.member_id in replica.log.members.all_ids
         if not replica.is_leader and not (is_member and has_leader):
             link.post(JoinRequest(member_id=replica.member_id))
         await anyio.sleep(JOIN_INTERVAL_SECONDS)
--- a/src/ledgeladder/daemons/registry/telling.py
+++ b/src/ledgeladder/daemons/registry/telling.py
@@ -131,7 +131,7 @@
 
 def _known_controls(state: RegistryState) -> tuple[str, ...]:
     """Return the IP addresses of the log's members, of linked control boxes, and of this box."""
-    members = {box_of(member) for member in state.node.replica.log.members.everyone}
+    members = {box_of(member) for member in state.node.replica.log.members.all_ids}
     return tuple(sorted(members | set(state.peers.links) | {state.peers.own_address}))
 
 
--- a/tests/coordination/raft/schedule.py
+++ b/tests/coordination/raft/schedule.py
@@ -111,7 +111,7 @@
 
     def restart(self, member: Member) -> None:
         member_id = member.replica.member_id
-        known = member_id in self.initial.everyone
+        known = member_id in self.initial.all_ids
         self.start(member_id, member.disk, self.initial if known else raft.Members(voters=()))
 
     def clock(self, member: Member) -> float:
@@ -125,7 +125,7 @@
         while True:
             ready = raft.take_ready(member.replica)
             work = (ready.hard_state, ready.snapshot, ready.entries, ready.messages)
-            if not any(work) and not ready.committed and not ready.snapshots_wanted:
+            if not any(work) and not ready.committed and not ready.snapshot_targets:
                 return
             member.disk.write(ready)
             if self.rng.random() < 0.002:
@@ -139,10 +139,10 @@
                 member.applied_index = ready.snapshot.index
             for entry in ready.committed:
                 self.apply(member, entry)
-            for target in ready.snapshots_wanted:
+            for target in ready.snapshot_targets:
                 if member.disk.snapshot is not None:
-                    raft.offer_snapshot(member.replica, target, member.disk.snapshot)
-            raft.synced(member.replica, ready, self.clock(member), self.rng)
+                    raft.send_snapshot(member.replica, target, member.disk.snapshot)
+            raft.record_synced(member.replica, ready, self.clock(member), self.rng)
 
     def apply(self, member: Member, entry: raft.LogEntry) -> None:
         if entry.index != member.applied_index + 1:
@@ -224,7 +224,7 @@
             self.compact(member)
         elif roll < 0.60 and self.active(member) and member.replica.is_leader:
             target = self.rng.choice(member.replica.log.members.voters)
-            raft.start_handover(member.replica, target, self.clock(member))
+            raft.transfer_leadership(member.replica, target, self.clock(member))
             self.pump(member)
         else:
             self.change_members()
@@ -320,7 +320,7 @@
         if learner in present and progress and progress.match_index == replica.log.last_index:
             rest = tuple(other for other in members.learners if other != learner)
             return raft.Members(voters=(*members.voters, learner), learners=rest)
-    known = set(members.everyone)
+    known = set(members.all_ids)
     for newcomer in sorted(present - known):
         box = newcomer.partition("/")[0]
         voters = tuple(v for v in members.voters if not v.startswith(f"{box}/"))
--- a/tests/coordination/raft/test_election.py
+++ b/tests/coordination/raft/test_election.py
@@ -11,7 +11,7 @@
 
 MEMBERS = ("a", "b", "c")
 STEP_SECONDS = 0.005
-ELECTION_SECONDS = raft.Timing().election
+ELECTION_SECONDS = raft.Timing().election_timeout
 
 
 def start(member_id: str, now: float, rng: random.Random) -> raft.Replica:
@@ -50,7 +50,7 @@
         for replica in replicas.values():
             raft.tick(replica, now, rng)
             ready = raft.take_ready(replica)
-            raft.synced(replica, ready, now, rng)
+            raft.record_synced(replica, ready, now, rng)
             bag += ready.messages
     return now
 
@@ -64,8 +64,10 @@
     return [item for item in sent if isinstance(item, raft.VoteReply)]
 
 
-def request(*, trial: bool, unanimous: bool = False) -> raft.VoteRequest:
-    return raft.VoteRequest(term=1, last_index=0, last_term=0, trial=trial, unanimous=unanimous)
+def request(*, pre_vote: bool, unanimous: bool = False) -> raft.VoteRequest:
+    return raft.VoteRequest(
+        term=1, last_index=0, last_term=0, pre_vote=pre_vote, unanimous=unanimous
+    )
 
 
 def test_members_that_all_start_together_need_no_silence() -> None:
@@ -81,16 +83,16 @@
 
 
 def test_member_in_its_silence_grants_only_what_needs_all_votes() -> None:
-    assert answers(start("a", 0.0, random.Random(1)), request(trial=False), 0.1) == []
-    told = answers(start("a", 0.0, random.Random(1)), request(trial=True), 0.1)
-    assert [(item.granted, item.fresh) for item in told] == [(False, True)]
-    agreed = request(trial=False, unanimous=True)
+    assert answers(start("a", 0.0, random.Random(1)), request(pre_vote=False), 0.1) == []
+    told = answers(start("a", 0.0, random.Random(1)), request(pre_vote=True), 0.1)
+    assert [(item.granted, item.newly_started) for item in told] == [(False, True)]
+    agreed = request(pre_vote=False, unanimous=True)
     granted = answers(start("a", 0.0, random.Random(1)), agreed, 0.1)
     assert [item.granted for item in granted] == [True]
 
 
 def test_member_that_has_heard_a_leader_stays_silent_to_all_of_them() -> None:
-    for asked in (request(trial=True), request(trial=False, unanimous=True)):
+    for asked in (request(pre_vote=True), request(pre_vote=False, unanimous=True)):
         replica = start("a", 0.0, random.Random(1))
         heartbeat = raft.AppendRequest(
             term=0, previous_index=0, previous_term=0, entries=(), commit_index=0, round=1
@@ -112,13 +114,13 @@
         envelope = raft.Envelope(sender=sender, target="a", message=message)
         raft.receive(replica, envelope, now, rng)
 
-    reply("b", trial=True, granted=False, fresh=True)
+    reply("b", pre_vote=True, granted=False, newly_started=True)
     assert replica.term == 0
-    reply("c", trial=True, granted=False, fresh=True)
+    reply("c", pre_vote=True, granted=False, newly_started=True)
     assert replica.term == 1
-    reply("b", trial=False, granted=True)
+    reply("b", pre_vote=False, granted=True)
     assert not replica.is_leader
-    reply("c", trial=False, granted=True)
+    reply("c", pre_vote=False, granted=True)
     assert replica.is_leader
 
 
@@ -127,7 +129,7 @@
     rng = random.Random(1)
     replica = start("a", 0.0, rng)
     raft.tick(replica, replica.election_due, rng)
-    message = raft.VoteReply(term=1, trial=True, granted=True)
+    message = raft.VoteReply(term=1, pre_vote=True, granted=True)
     envelope = raft.Envelope(sender="b", target="a", message=message)
     raft.receive(replica, envelope, 0.2, rng)
     assert replica.term == 0
--- a/tests/coordination/raft/test_schedules.py
+++ b/tests/coordination/raft/test_schedules.py
@@ -88,7 +88,7 @@
 def test_catches_missing_term_check(monkeypatch: pytest.MonkeyPatch) -> None:
     def careless(replica, sender, term, now, rng):
         election.become_follower(replica, max(term, replica.term), sender, now, rng)
-        replica.leader_heard_at = now
+        replica.leader_last_seen_at = now
         return True
 
     monkeypatch.setattr(replication, "accept_leader", careless)
@@ -144,7 +144,7 @@
 
 def test_catches_lease_beyond_election_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     original = raft.Timing
-    monkeypatch.setattr(raft, "Timing", lambda: replace(original(), lease=1.5))
+    monkeypatch.setattr(raft, "Timing", lambda: replace(original(), lease_duration=1.5))
     assert caught()
 
 
--- a/tests/coordination/test_voters.py
+++ b/tests/coordination/test_voters.py
@@ -20,9 +20,9 @@
         role=Role.LEADER,
         commit_index=5,
     )
-    for member in members.everyone[1:]:
+    for member in members.all_ids[1:]:
         last_seen = NOW - 60.0 if member in inactive else NOW
-        replica.progress[member] = Progress(next_index=6, match_index=5, heard_at=last_seen)
+        replica.progress[member] = Progress(next_index=6, match_index=5, last_seen_at=last_seen)
     return replica
 
 
--- a/tests/daemons/test_full_disk.py
+++ b/tests/daemons/test_full_disk.py
@@ -63,13 +63,13 @@
     """Make a node the leader with the votes of all voters; return the time of its election."""
     replica = node.replica
     # A node grants no vote, not even its own, until one election timeout after its start.
-    now = replica.leader_heard_at + replica.timing.election + 0.01
+    now = replica.leader_last_seen_at + replica.timing.election_timeout + 0.01
     raft.tick(replica, now, node.rng)
     process_ready(node)
-    for trial in (True, False):
+    for pre_vote in (True, False):
         for voter in replica.log.members.voters:
             if voter != replica.member_id:
-                reply = raft.VoteReply(term=1, trial=trial, granted=True)
+                reply = raft.VoteReply(term=1, pre_vote=pre_vote, granted=True)
                 envelope = raft.Envelope(sender=voter, target=replica.member_id, message=reply)
                 raft.receive(replica, envelope, now, node.rng)
         process_ready(node)
@@ -130,10 +130,12 @@
     raft.flush(node.replica, now)
     process_ready(node)
     assert not node.replica.is_leader
-    assert [type(item.message) for item in sent] == [raft.ElectNow]
+    assert [type(item.message) for item in sent] == [raft.TimeoutNow]
     # It must not acknowledge entries or grant votes that it cannot store.
     sent.clear()
-    vote = raft.VoteRequest(term=9, last_index=9, last_term=9, trial=False, handover=True)
+    vote = raft.VoteRequest(
+        term=9, last_index=9, last_term=9, pre_vote=False, leadership_transfer=True
+    )
     node.receive(raft.Envelope(sender="b/initial", target="a/initial", message=vote))
     process_ready(node)
     assert sent == []
