--- a/bench/registry_load.py
+++ b/bench/registry_load.py
@@ -29,10 +29,10 @@
 from ledgeladder.links.messages import (
     DocumentPull,
     LoadReport,
-    OrderOfUpstreams,
     PeerRole,
     RegistrationAges,
-    RegistrationNews,
+    RegistrationUpdate,
+    UpstreamIndexPush,
     VersionQuery,
 )
 from ledgeladder.model.registration import Holding, Liveness, Registration
@@ -207,15 +207,15 @@
         for start in range(0, count, step):
             for number in numbers[start : start + step]:
                 told = Liveness(registration=registration(number, 0, 1), age=0.0)
-                link.post(RegistrationNews(told=(told,)))
+                link.post(RegistrationUpdate(reported=(told,)))
             await anyio.sleep(0.01)
         order = UpstreamIndex(
             number=1, instances=tuple(registration(item, 0, 1).instance for item in numbers)
         )
-        link.post(OrderOfUpstreams(order=order))
+        link.post(UpstreamIndexPush(index=order))
         while True:
             ages = {instance: 0.5 for instance in order.instances}
-            link.post(RegistrationAges(order=1, ages=pack_ages(order, ages)))
+            link.post(RegistrationAges(index_number=1, ages=pack_ages(order, ages)))
             await anyio.sleep(1.0)
 
     async def replace(self) -> None:
--- a/src/ledgeladder/daemons/content_judge.py
+++ b/src/ledgeladder/daemons/content_judge.py
@@ -22,7 +22,7 @@
     record_crash,
 )
 from ..coordination.quarantine import seconds_left
-from ..links.messages import CrashReport, QuarantineNews, SuspectNews
+from ..links.messages import CrashReport, QuarantineUpdate, SuspectUpdate
 from .clock import wall_clock_ms
 from .control.node import submit
 
@@ -76,25 +76,25 @@
         to_peers: Whether to forward it to the other control boxes. True if it came from an entry
             box.
     """
-    if not record_crash(controller.crash_table, report.content, report.instance):
+    if not record_crash(controller.crash_table, report.fingerprint, report.instance):
         return
     if to_peers:
         controller.broadcast_to_peers(report)
-    crashes = crash_count(controller.crash_table, report.content)
+    crashes = crash_count(controller.crash_table, report.fingerprint)
     if crashes < MIN_SUSPECT_CRASHES:
         return
     logger.warning(
         "request content suspected",
-        extra={"content": report.content.hex(), "upstream": report.instance, "ends": crashes},
+        extra={"content": report.fingerprint.hex(), "upstream": report.instance, "ends": crashes},
     )
-    controller.broadcast_to_entries(SuspectNews(content=report.content, ends=crashes))
+    controller.broadcast_to_entries(SuspectUpdate(fingerprint=report.fingerprint, crashes=crashes))
 
 
 def handle_content_served(
     controller: QuarantineController, served: ContentServed, *, to_peers: bool
 ) -> None:
     """Clear the crashes under a content that was answered, and forward the message to peers."""
-    if clear_crashes(controller.crash_table, served.content) and to_peers:
+    if clear_crashes(controller.crash_table, served.fingerprint) and to_peers:
         controller.broadcast_to_peers(served)
 
 
@@ -128,10 +128,10 @@
         )
 
 
-def quarantine_update(controller: QuarantineController) -> QuarantineNews:
+def quarantine_update(controller: QuarantineController) -> QuarantineUpdate:
     """Return the quarantined contents as a message for entry boxes."""
     quarantined = controller.node.state.quarantine
-    return QuarantineNews(seconds_left=seconds_left(quarantined, wall_clock_ms()))
+    return QuarantineUpdate(seconds_left=seconds_left(quarantined, wall_clock_ms()))
 
 
 def broadcast_quarantine(controller: QuarantineController) -> None:
--- a/src/ledgeladder/daemons/control/hub.py
+++ b/src/ledgeladder/daemons/control/hub.py
@@ -30,7 +30,7 @@
     OrderOutcome,
     PeerRole,
     Pull,
-    RateLimitNews,
+    RateLimitUpdate,
     TermQuery,
     TermReply,
     VersionHead,
@@ -243,7 +243,7 @@
             handle_crash_report(quarantine_controller_of(hub), message, to_peers=not from_control)
         case ContentServed():
             handle_content_served(quarantine_controller_of(hub), message, to_peers=not from_control)
-        case RateLimitNews():
+        case RateLimitUpdate():
             apply_limits(rate_granter_of(hub), message.limits, to_peers=not from_control)
         case GrantRequest():
             handle_grant_request(rate_granter_of(hub), link, message)
--- a/src/ledgeladder/daemons/entry/crashes.py
+++ b/src/ledgeladder/daemons/entry/crashes.py
@@ -9,7 +9,7 @@
 from ...coordination import content_watch
 from ...coordination.crash_book import CRASH_LIMIT
 from ...links import nobody_listens
-from ...links.messages import ContentServed, CrashReport, QuarantineNews, SuspectNews
+from ...links.messages import ContentServed, CrashReport, QuarantineUpdate, SuspectUpdate
 from ...model import Problem, ProblemError, ResultCode
 from ..clock import now
 
@@ -59,7 +59,7 @@
         return
     instance = f"{upstream}#{secrets.token_hex(4)}"
     crashes = content_watch.record_own_crash(context.quarantine, fingerprint, instance, now())
-    context.send_to_controls(CrashReport(content=fingerprint, instance=instance))
+    context.send_to_controls(CrashReport(fingerprint=fingerprint, instance=instance))
     context.metrics.events["ended-under-request"] += 1
     logger.warning(
         "upstream exited while running a request",
@@ -70,7 +70,7 @@
 def record_answered(context: EntryContext, fingerprint: bytes) -> None:
     """Clear the suspicion on a request content after a complete answer, and report it."""
     if content_watch.record_answered(context.quarantine, fingerprint):
-        context.send_to_controls(ContentServed(content=fingerprint))
+        context.send_to_controls(ContentServed(fingerprint=fingerprint))
 
 
 def handle_quarantine_message(context: EntryContext, message: LinkMessage) -> bool:
@@ -80,9 +80,11 @@
         False if the message is of another kind.
     """
     match message:
-        case SuspectNews():
-            content_watch.apply_suspect(context.quarantine, message.content, message.ends, now())
-        case QuarantineNews():
+        case SuspectUpdate():
+            content_watch.apply_suspect(
+                context.quarantine, message.fingerprint, message.crashes, now()
+            )
+        case QuarantineUpdate():
             added = content_watch.apply_quarantine(context.quarantine, message.seconds_left, now())
             if added:
                 extra = {"contents": [fingerprint.hex() for fingerprint in added]}
--- a/src/ledgeladder/daemons/gateway/borrowing.py
+++ b/src/ledgeladder/daemons/gateway/borrowing.py
@@ -7,13 +7,13 @@
 
 import anyio
 
-from ...links.messages import LoanRequest
+from ...links.messages import RetryQuotaRequest
 from ...routing.retry_quota import MAX_QUOTA_REQUEST, QUOTA_SECONDS
 from ...routing.retry_window import acquire_local_retry, add_quota
 from .state import PendingQuotaRequest, retry_budget
 
 if TYPE_CHECKING:
-    from ...links.messages import LoanReply
+    from ...links.messages import RetryQuotaReply
     from ...routing.retry_window import Retry
     from .state import GatewayState
 
@@ -91,7 +91,7 @@
             state.next_quota_call += 1
             state.pending_quota_requests[pending.call] = pending
             count = min(pending.requested - pending.granted, MAX_QUOTA_REQUEST)
-            link.post(LoanRequest(call=pending.call, pool=pending.pool, count=count))
+            link.post(RetryQuotaRequest(call=pending.call, pool=pending.pool, count=count))
             return
     state.metrics.counters["repeats-borrowed"] += pending.granted
     logger.info(
@@ -103,7 +103,7 @@
     pending.done.set()
 
 
-def handle_quota_reply(state: GatewayState, reply: LoanReply) -> None:
+def handle_quota_reply(state: GatewayState, reply: RetryQuotaReply) -> None:
     """Add the quota that a control box granted, and request what is missing from the next one.
 
     A reply that arrives too late is ignored; the control box still counts its quota as granted.
--- a/src/ledgeladder/daemons/gateway/control_link.py
+++ b/src/ledgeladder/daemons/gateway/control_link.py
@@ -18,21 +18,21 @@
     unpack_loads,
 )
 from ...links.messages import (
-    ChangedOrder,
     DocumentPull,
     DocumentPush,
     GrantReply,
+    IndexChangePush,
     LoadReport,
     LoadTotals,
-    LoanReply,
-    LossNews,
-    OrderOfUpstreams,
+    LossUpdate,
     PeerHint,
-    QuarantineNews,
-    RateLimitNews,
+    QuarantineUpdate,
+    RateLimitUpdate,
     RegistrationAges,
-    RegistrationNews,
-    SuspectNews,
+    RegistrationUpdate,
+    RetryQuotaReply,
+    SuspectUpdate,
+    UpstreamIndexPush,
     VersionQuery,
     VersionReply,
 )
@@ -96,28 +96,30 @@
                     _handle_version_reply(state, link, message)
                 case DocumentPush():
                     apply_document(state, message)
-                case RegistrationNews():
-                    apply_registrations(state, message.told)
-                case OrderOfUpstreams():
-                    order = message.order
-                case ChangedOrder():
+                case RegistrationUpdate():
+                    apply_registrations(state, message.reported)
+                case UpstreamIndexPush():
+                    order = message.index
+                case IndexChangePush():
                     order = apply_index_change(order, message.change)
                 case RegistrationAges():
-                    _apply_ages(state, unpack_ages(order, message.order, message.ages))
-                case LossNews():
+                    _apply_ages(state, unpack_ages(order, message.index_number, message.ages))
+                case LossUpdate():
                     engine = handle_loss_update(state, message.instance)
                     if engine is not None:
                         tasks.start_soon(confirm_loss, state, engine)
-                case SuspectNews():
+                case SuspectUpdate():
                     handle_suspect_update(state, message)
-                case QuarantineNews():
+                case QuarantineUpdate():
                     handle_quarantine_update(state, message)
-                case LoanReply():
+                case RetryQuotaReply():
                     handle_quota_reply(state, message)
-                case RateLimitNews() | GrantReply():
+                case RateLimitUpdate() | GrantReply():
                     handle_limit_message(limit_keeper_of(state), message)
                 case LoadTotals():
-                    _apply_load_totals(state, unpack_loads(order, message.order, message.loads))
+                    _apply_load_totals(
+                        state, unpack_loads(order, message.index_number, message.loads)
+                    )
                 case PeerHint():
                     if state.peers is not None:
                         add_peers(state.peers, message.addresses, message.domains)
--- a/src/ledgeladder/daemons/gateway/crashes.py
+++ b/src/ledgeladder/daemons/gateway/crashes.py
@@ -17,7 +17,7 @@
     from collections.abc import Iterable
 
     from ...http1 import HttpRequest
-    from ...links.messages import LinkMessage, QuarantineNews, SuspectNews
+    from ...links.messages import LinkMessage, QuarantineUpdate, SuspectUpdate
     from ...routing.forwarding_table import ForwardedUpstream
     from .checks import Permit
     from .notes import RequestTrace
@@ -89,7 +89,7 @@
     )
     if crashes == 0:
         return
-    _send_to_controls(state, CrashReport(content=fingerprint, instance=instance))
+    _send_to_controls(state, CrashReport(fingerprint=fingerprint, instance=instance))
     state.metrics.counters["ended-under-request"] += 1
     logger.warning(
         "upstream exited while running a request",
@@ -110,15 +110,17 @@
         return
     fingerprint = content_fingerprint(trace, request, permit)
     if content_watch.record_answered(state.quarantine, fingerprint):
-        _send_to_controls(state, ContentServed(content=fingerprint))
+        _send_to_controls(state, ContentServed(fingerprint=fingerprint))
 
 
-def handle_suspect_update(state: GatewayState, update: SuspectNews) -> None:
+def handle_suspect_update(state: GatewayState, update: SuspectUpdate) -> None:
     """Apply the number of crashes that a request content caused at all boxes."""
-    content_watch.apply_suspect(state.quarantine, update.content, update.ends, anyio.current_time())
+    content_watch.apply_suspect(
+        state.quarantine, update.fingerprint, update.crashes, anyio.current_time()
+    )
 
 
-def handle_quarantine_update(state: GatewayState, update: QuarantineNews) -> None:
+def handle_quarantine_update(state: GatewayState, update: QuarantineUpdate) -> None:
     """Apply which request contents are quarantined."""
     added = content_watch.apply_quarantine(
         state.quarantine, update.seconds_left, anyio.current_time()
--- a/src/ledgeladder/daemons/gateway/probing.py
+++ b/src/ledgeladder/daemons/gateway/probing.py
@@ -9,7 +9,7 @@
 
 from ...http1 import ConnectError, connect
 from ...links import nobody_listens
-from ...links.messages import LostReport
+from ...links.messages import LossReport
 from ...routing.forwarding_table import record_exit, record_loss
 from ...routing.pace import note_gap, probe_patience
 
@@ -128,7 +128,7 @@
     record_loss(engine, anyio.current_time())
     if state.peers is not None:
         for link in state.peers.links.values():
-            link.post(LostReport(instance=engine.registration.instance))
+            link.post(LossReport(instance=engine.registration.instance))
 
 
 def probe_timeout(state: GatewayState, pool: str) -> float:
--- a/src/ledgeladder/daemons/limit_keeper.py
+++ b/src/ledgeladder/daemons/limit_keeper.py
@@ -25,7 +25,7 @@
     to_reported,
 )
 from ..links import post_to_all
-from ..links.messages import GrantReply, GrantRequest, RateLimitNews
+from ..links.messages import GrantReply, GrantRequest, RateLimitUpdate
 from ..routing.rate_grants import (
     REQUEST_INTERVAL_SECONDS,
     GrantedLimit,
@@ -145,7 +145,7 @@
         False if the message is of another kind.
     """
     match message:
-        case RateLimitNews():
+        case RateLimitUpdate():
             apply_limits(limiter, message.limits)
         case GrantReply():
             handle_grant_reply(limiter, message)
@@ -222,7 +222,7 @@
     }
     limiter.pending_updates.clear()
     if limits:
-        post_to_all(links, RateLimitNews(limits=limits))
+        post_to_all(links, RateLimitUpdate(limits=limits))
 
 
 def _request_grants(limiter: RateLimiter, links: list[Link], now: float) -> None:
--- a/src/ledgeladder/daemons/rate_lender.py
+++ b/src/ledgeladder/daemons/rate_lender.py
@@ -20,7 +20,7 @@
     record_requester,
 )
 from ..coordination.rate_limit import from_reported, is_expired, merge_reported, to_reported
-from ..links.messages import Grant, GrantReply, RateLimitNews
+from ..links.messages import Grant, GrantReply, RateLimitUpdate
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
@@ -108,8 +108,8 @@
     return changed
 
 
-def _build_update(granter: RateGranter, instances: list[str], now: float) -> RateLimitNews:
-    return RateLimitNews(
+def _build_update(granter: RateGranter, instances: list[str], now: float) -> RateLimitUpdate:
+    return RateLimitUpdate(
         limits={
             instance: to_reported(granter.ledgers[instance].limit, now) for instance in instances
         }
@@ -169,6 +169,6 @@
             granter.broadcast_to_peers(update)
 
 
-def limit_update(granter: RateGranter) -> RateLimitNews:
+def limit_update(granter: RateGranter) -> RateLimitUpdate:
     """Return all limits as a message, for a box that has just connected."""
     return _build_update(granter, list(granter.ledgers), anyio.current_time())
--- a/src/ledgeladder/daemons/registry/lending.py
+++ b/src/ledgeladder/daemons/registry/lending.py
@@ -12,7 +12,7 @@
 
 from ...coordination.rate_limit import LEADER_CONTACT_SECONDS
 from ...links import post_to_all
-from ...links.messages import LoanReply
+from ...links.messages import RetryQuotaReply
 from ...routing.retry_quota import BASE_QUOTA_SHARE, QuotaLedger, grant_quota
 from ...routing.retry_window import USABLE_SHARE
 from ..rate_lender import RateGranter
@@ -20,7 +20,7 @@
 
 if TYPE_CHECKING:
     from ...links import Link
-    from ...links.messages import LoanRequest
+    from ...links.messages import RetryQuotaRequest
     from .state import RegistryState
 
 logger = logging.getLogger(__name__)
@@ -58,7 +58,7 @@
     )
 
 
-def handle_quota_request(state: RegistryState, link: Link, request: LoanRequest) -> None:
+def handle_quota_request(state: RegistryState, link: Link, request: RetryQuotaRequest) -> None:
     """Grant an entry box as much of the requested retry quota as is left in this voter's part."""
     opened_at, count = state.voter_since, 0
     if opened_at is not None and may_grant(state):
@@ -74,7 +74,7 @@
                 "age": version_age(state),
             },
         )
-    link.post(LoanReply(call=request.call, count=count))
+    link.post(RetryQuotaReply(call=request.call, count=count))
 
 
 def _quota_ledger(state: RegistryState, pool: str, opened_at: float) -> QuotaLedger:
--- a/src/ledgeladder/daemons/registry/order_sending.py
+++ b/src/ledgeladder/daemons/registry/order_sending.py
@@ -12,7 +12,7 @@
 from ...coordination.rests import is_backing_off, record_backoff
 from ...http1 import AnswerBrokenError, ConnectError, RestAskedError, connect
 from ...links import post_to_all
-from ...links.messages import OrderNews
+from ...links.messages import OrderUpdate
 from ...platform.engine_calls import place_call, read_outcome
 from .. import clock
 from ..engine_call import fetch_report, send_call
@@ -54,7 +54,7 @@
     fence = state.node.replica.term
     order = state.order_ledger.sent.get(engine.instance)
     seconds = order.load_seconds if order is not None else 0.0
-    update = OrderNews(instance=engine.instance, holding=holding, load_seconds=seconds)
+    update = OrderUpdate(instance=engine.instance, holding=holding, load_seconds=seconds)
     post_to_all(state.peers.links.values(), update)
     outcome = await send_order(state, engine, holding, fence)
     record_outcome(state.order_ledger, engine.instance, outcome, fence)
--- a/src/ledgeladder/daemons/registry/peer_links.py
+++ b/src/ledgeladder/daemons/registry/peer_links.py
@@ -21,7 +21,6 @@
 )
 from ...links import post_to_all
 from ...links.messages import (
-    ChangedOrder,
     CommandReply,
     CommandRequest,
     ContentServed,
@@ -29,20 +28,21 @@
     DocumentPull,
     DocumentPush,
     GrantRequest,
+    IndexChangePush,
     JoinRequest,
     LoadReport,
     LoadShare,
-    LoanRequest,
     LogMessage,
-    LossNews,
-    LostReport,
-    OrderNews,
-    OrderOfUpstreams,
+    LossReport,
+    LossUpdate,
+    OrderUpdate,
     PeerHint,
     PeerRole,
-    RateLimitNews,
+    RateLimitUpdate,
     RegistrationAges,
-    RegistrationNews,
+    RegistrationUpdate,
+    RetryQuotaRequest,
+    UpstreamIndexPush,
     VersionQuery,
     VersionReply,
 )
@@ -94,8 +94,8 @@
         address: IP address of the other box.
         link: The link.
     """
-    link.post(RegistrationNews(told=list_liveness(state.table, anyio.current_time())))
-    link.post(OrderOfUpstreams(order=state.upstream_index))
+    link.post(RegistrationUpdate(reported=list_liveness(state.table, anyio.current_time())))
+    link.post(UpstreamIndexPush(index=state.upstream_index))
     link.post(build_peer_hint(state))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_request_membership, state, link)
@@ -137,8 +137,8 @@
         state.accepted_control_links[id(link)] = link
     else:
         state.entry_links[id(link)] = link
-        link.post(RegistrationNews(told=list_liveness(state.table, anyio.current_time())))
-        link.post(OrderOfUpstreams(order=state.upstream_index))
+        link.post(RegistrationUpdate(reported=list_liveness(state.table, anyio.current_time())))
+        link.post(UpstreamIndexPush(index=state.upstream_index))
         link.post(quarantine_update(quarantine_controller_of(state)))
         link.post(limit_update(rate_granter_of(state)))
     link.post(build_peer_hint(state))
@@ -168,17 +168,17 @@
             state.node.record_applicant(message.member_id)
         case CommandRequest() if is_control:
             tasks.start_soon(handle_command_request, state, link, message)
-        case RegistrationNews() if is_control:
-            for registration in merge_liveness(state.table, message.told, anyio.current_time()):
+        case RegistrationUpdate() if is_control:
+            for registration in merge_liveness(state.table, message.reported, anyio.current_time()):
                 broadcast_registration(state, registration, to_peers=False)
-        case OrderOfUpstreams() if is_control:
-            state.peer_indexes[id(link)] = message.order
-        case ChangedOrder() if is_control:
+        case UpstreamIndexPush() if is_control:
+            state.peer_indexes[id(link)] = message.index
+        case IndexChangePush() if is_control:
             state.peer_indexes[id(link)] = apply_index_change(
                 _peer_index(state, link), message.change
             )
         case RegistrationAges() if is_control:
-            ages = unpack_ages(_peer_index(state, link), message.order, message.ages)
+            ages = unpack_ages(_peer_index(state, link), message.index_number, message.ages)
             merge_ages(state.table, ages, anyio.current_time())
         case PeerHint() if is_control:
             add_peers(state.peers, message.addresses, message.domains)
@@ -187,13 +187,13 @@
                 loads=message.loads, reported_at=anyio.current_time()
             )
         case LoadShare() if is_control:
-            loads = unpack_loads(_peer_index(state, link), message.order, message.loads)
+            loads = unpack_loads(_peer_index(state, link), message.index_number, message.loads)
             state.shares[id(link)] = ReportedShare(
                 loads=dict(loads),
                 entries=message.entries,
                 reported_at=anyio.current_time(),
             )
-        case OrderNews() if is_control:
+        case OrderUpdate() if is_control:
             record_reported_order(
                 state.order_ledger,
                 message.instance,
@@ -201,9 +201,9 @@
                 message.load_seconds,
                 anyio.current_time(),
             )
-        case LoanRequest():
+        case RetryQuotaRequest():
             handle_quota_request(state, link, message)
-        case RateLimitNews():
+        case RateLimitUpdate():
             apply_limits(rate_granter_of(state), message.limits, to_peers=not is_control)
         case GrantRequest():
             handle_grant_request(rate_granter_of(state), link, message)
@@ -211,7 +211,7 @@
             handle_crash_report(quarantine_controller_of(state), message, to_peers=not is_control)
         case ContentServed():
             handle_content_served(quarantine_controller_of(state), message, to_peers=not is_control)
-        case LostReport():
+        case LossReport():
             _handle_lost_report(state, link, message.instance)
         case VersionQuery():
             handle_version_query(state, link, message)
@@ -246,4 +246,4 @@
             "heard_before": round(now - known.last_seen_at, 3),
         },
     )
-    post_to_all(state.entry_links.values(), LossNews(instance=instance))
+    post_to_all(state.entry_links.values(), LossUpdate(instance=instance))
--- a/src/ledgeladder/daemons/registry/telling.py
+++ b/src/ledgeladder/daemons/registry/telling.py
@@ -19,13 +19,13 @@
 )
 from ...links import post_to_all
 from ...links.messages import (
-    ChangedOrder,
     DocumentPush,
+    IndexChangePush,
     LoadShare,
     LoadTotals,
     PeerHint,
     RegistrationAges,
-    RegistrationNews,
+    RegistrationUpdate,
 )
 from ...routing.load_sharing import is_report_due, load_interval
 from ...storage import box_of
@@ -97,9 +97,9 @@
     updates = state.pending_updates
     to_entries, to_peers = updates.pop_all(now)
     if to_entries:
-        post_to_all(state.entry_links.values(), RegistrationNews(told=to_entries))
+        post_to_all(state.entry_links.values(), RegistrationUpdate(reported=to_entries))
     if to_peers:
-        post_to_all(state.peers.links.values(), RegistrationNews(told=to_peers))
+        post_to_all(state.peers.links.values(), RegistrationUpdate(reported=to_peers))
 
 
 async def broadcast_updates(state: RegistryState) -> None:
@@ -125,7 +125,7 @@
     if change is not None:
         state.upstream_index = apply_index_change(state.upstream_index, change)
         links = [*state.peers.links.values(), *state.entry_links.values()]
-        post_to_all(links, ChangedOrder(change=change))
+        post_to_all(links, IndexChangePush(change=change))
     return state.upstream_index
 
 
@@ -153,7 +153,7 @@
         update_voter_status(state)
         index = _update_index(state)
         message = RegistrationAges(
-            order=index.number, ages=pack_ages(index, heartbeat_ages(state.table, now))
+            index_number=index.number, ages=pack_ages(index, heartbeat_ages(state.table, now))
         )
         post_to_all(state.peers.links.values(), message)
         if now - ages_sent_at >= _ages_interval(len(index.instances)):
@@ -207,7 +207,7 @@
         if not is_report_due((own, sums) != sent, now - sent_at):
             continue
         sent, sent_at = (own, sums), now
-        share = LoadShare(order=index.number, loads=own, entries=len(state.loads))
+        share = LoadShare(index_number=index.number, loads=own, entries=len(state.loads))
         post_to_all(state.peers.links.values(), share)
-        totals = LoadTotals(order=index.number, loads=sums)
+        totals = LoadTotals(index_number=index.number, loads=sums)
         post_to_all((state.entry_links[link_id] for link_id in state.loads), totals)
--- a/src/ledgeladder/links/messages.py
+++ b/src/ledgeladder/links/messages.py
@@ -17,7 +17,7 @@
 
 
 class PeerRole(StrEnum):
-    """What the process at the other end of a link is."""
+    """Kind of process at the other end of a link."""
 
     CONTROL = "control"
     ENTRY = "entry"
@@ -38,7 +38,7 @@
     box: str
     failure_domain: str
     instance: str
-    """Random name of this run of the process."""
+    """Random name of this instance of the process."""
 
     nonce: bytes
     proof: bytes
@@ -46,7 +46,7 @@
 
 
 class Welcome(msgspec.Struct, frozen=True, kw_only=True, tag="welcome", array_like=True):
-    """Answer to a hello, with the accepting side's proof."""
+    """Response to a `Hello`, with the accepting side's proof."""
 
     box: str
     proof: bytes
@@ -59,13 +59,13 @@
 
 
 class JoinRequest(msgspec.Struct, frozen=True, kw_only=True, tag="join", array_like=True):
-    """A control box that is no member asks to become a learner."""
+    """Requests that the sender, a control box that is not a member, becomes a learner."""
 
     member_id: str
 
 
 class VersionHead(msgspec.Struct, frozen=True, kw_only=True, tag="head", array_like=True):
-    """The sender's newest configuration, in short."""
+    """Version and digest of the sender's newest configuration."""
 
     version: int
     digest: bytes
@@ -84,15 +84,15 @@
 
 
 class Pull(msgspec.Struct, frozen=True, kw_only=True, tag="pull", array_like=True):
-    """Ask for everything after a version that the sender has in force."""
+    """Requests all changes after the version that the sender has in force."""
 
     version: int
     full: bool = False
-    """True if deltas will not do, as after a digest that does not match."""
+    """True to request the whole configuration, as after a digest mismatch."""
 
 
 class InForce(msgspec.Struct, frozen=True, kw_only=True, tag="in-force", array_like=True):
-    """Tell which version a box has in force."""
+    """Reports which version a box has in force."""
 
     box: str
     failure_domain: str
@@ -101,13 +101,13 @@
 
 
 class InForceReport(msgspec.Struct, frozen=True, kw_only=True, tag="report", array_like=True):
-    """Tell other control boxes which versions the boxes connected here have in force."""
+    """Reports to other control boxes which versions the boxes connected here have in force."""
 
     boxes: tuple[InForce, ...]
 
 
 class CommandRequest(msgspec.Struct, frozen=True, kw_only=True, tag="command?", array_like=True):
-    """Ask the leader to commit a command."""
+    """Requests that the leader commits a command."""
 
     call: int
     command: Command
@@ -121,14 +121,14 @@
     """Result, or None if the command was not committed here."""
 
     code: ResultCode = ResultCode.OK
-    """Why there is no result."""
+    """Reason for a missing result."""
 
     leader: str = ""
-    """Box that leads, if known."""
+    """Box of the leader; empty if unknown."""
 
 
 class FencedOrder(msgspec.Struct, frozen=True, kw_only=True, tag="order?", array_like=True):
-    """Ask the gate to pass an order on to an engine that does not check fences itself."""
+    """Requests that the gate forwards an order to an engine that does not check fences itself."""
 
     upstream: str
     address: str
@@ -138,7 +138,7 @@
 
 
 class OrderOutcome(msgspec.Struct, frozen=True, kw_only=True, tag="order", array_like=True):
-    """What became of an order at the gate."""
+    """Outcome of an order at the gate."""
 
     upstream: str
     term: int
@@ -147,7 +147,7 @@
 
 
 class TermQuery(msgspec.Struct, frozen=True, kw_only=True, tag="term?", array_like=True):
-    """Ask a control box for its current term."""
+    """Queries the current term of a control box."""
 
     call: int
 
@@ -158,205 +158,207 @@
     call: int
     term: int
     voters: int
-    """Number of voters that it knows, of which a majority must answer."""
+    """Number of voters known to the sender; a majority of them must reply."""
 
     is_voter: bool
 
 
 class PeerHint(msgspec.Struct, frozen=True, kw_only=True, tag="peers", array_like=True):
-    """Link addresses of control boxes, for processes that are given no list of them."""
+    """Link addresses of control boxes, for processes without a configured list."""
 
     addresses: tuple[str, ...]
     domains: dict[str, str] = {}
-    """Failure domain of each, as far as the sender knows it."""
+    """Failure domains by address, as far as the sender knows them."""
 
 
-class RegistrationNews(msgspec.Struct, frozen=True, kw_only=True, tag="upstreams", array_like=True):
-    """What upstreams said of themselves, and when."""
+class RegistrationUpdate(
+    msgspec.Struct, frozen=True, kw_only=True, tag="upstreams", array_like=True
+):
+    """Registrations as upstreams reported them, with their ages."""
 
-    told: tuple[Liveness, ...]
+    reported: tuple[Liveness, ...]
 
 
-class OrderOfUpstreams(msgspec.Struct, frozen=True, kw_only=True, tag="known", array_like=True):
-    """The order in which the sender tells figures of upstreams from now on."""
+class UpstreamIndexPush(msgspec.Struct, frozen=True, kw_only=True, tag="known", array_like=True):
+    """Index of upstreams by which the sender encodes figures from now on."""
 
-    order: UpstreamIndex
+    index: UpstreamIndex
 
 
-class ChangedOrder(msgspec.Struct, frozen=True, kw_only=True, tag="known+", array_like=True):
-    """What has changed in the order that the sender told before."""
+class IndexChangePush(msgspec.Struct, frozen=True, kw_only=True, tag="known+", array_like=True):
+    """Change to the index that the sender pushed before."""
 
     change: IndexChange
 
 
 class RegistrationAges(msgspec.Struct, frozen=True, kw_only=True, tag="ages", array_like=True):
-    """How long ago each upstream of the sender's order was last heard."""
+    """Time since the last heartbeat of each upstream in the sender's index."""
 
-    order: int
-    """Number of the order."""
+    index_number: int
+    """Number of the sender's index of upstreams."""
 
     ages: bytes
-    """Ages as `pack_ages` writes them."""
+    """Ages as encoded by `pack_ages`."""
 
 
-class LostReport(msgspec.Struct, frozen=True, kw_only=True, tag="lost", array_like=True):
-    """An entry box found an upstream dead."""
+class LossReport(msgspec.Struct, frozen=True, kw_only=True, tag="lost", array_like=True):
+    """Reports that an entry box found an upstream unreachable."""
 
     instance: str
 
 
-class LossNews(msgspec.Struct, frozen=True, kw_only=True, tag="gone", array_like=True):
-    """Several entry boxes found an engine dead."""
+class LossUpdate(msgspec.Struct, frozen=True, kw_only=True, tag="gone", array_like=True):
+    """Announces that several entry boxes found an engine unreachable."""
 
     instance: str
 
 
 class CrashReport(msgspec.Struct, frozen=True, kw_only=True, tag="ended", array_like=True):
-    """An upstream ended while a request was on it."""
+    """Reports that an upstream exited while running a request."""
 
-    content: bytes
-    """Mark of the request's content."""
+    fingerprint: bytes
+    """Fingerprint of the request content."""
 
     instance: str
-    """Run of the upstream."""
+    """Instance of the upstream."""
 
 
 class ContentServed(msgspec.Struct, frozen=True, kw_only=True, tag="served", array_like=True):
-    """A request was answered under whose content upstreams had ended."""
+    """Reports that a request was answered whose content had been blamed for crashes."""
 
-    content: bytes
-    """Mark of its content."""
+    fingerprint: bytes
+    """Fingerprint of the request content."""
 
 
-class SuspectNews(msgspec.Struct, frozen=True, kw_only=True, tag="suspect", array_like=True):
-    """Several upstreams have ended under a content."""
+class SuspectUpdate(msgspec.Struct, frozen=True, kw_only=True, tag="suspect", array_like=True):
+    """Announces that several upstreams exited while running the same request content."""
 
-    content: bytes
-    """Mark of the content."""
+    fingerprint: bytes
+    """Fingerprint of the request content."""
 
-    ends: int
-    """Their number, under requests of all entry boxes."""
+    crashes: int
+    """Number of crashes, counted over the requests of all entry boxes."""
 
 
-class QuarantineNews(msgspec.Struct, frozen=True, kw_only=True, tag="held", array_like=True):
-    """All contents that are to be sent to no upstream."""
+class QuarantineUpdate(msgspec.Struct, frozen=True, kw_only=True, tag="held", array_like=True):
+    """All request contents in quarantine, which no upstream may be sent."""
 
     seconds_left: dict[bytes, float]
-    """For how many more seconds, by mark of the content."""
+    """Seconds until the quarantine ends, by fingerprint."""
 
 
-class OrderNews(msgspec.Struct, frozen=True, kw_only=True, tag="ordered", array_like=True):
-    """The leader has ordered an engine to hold layers, which it has not reported yet."""
+class OrderUpdate(msgspec.Struct, frozen=True, kw_only=True, tag="ordered", array_like=True):
+    """Announces layers that the leader ordered an engine to hold and that are not reported yet."""
 
     instance: str
     holding: Holding
     load_seconds: float
-    """Time that the load is predicted to take."""
+    """Predicted time to load the layers."""
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True, tag="load", array_like=True):
-    """What the sender's requests take on each upstream."""
+    """Load of the sender's requests on each upstream."""
 
     loads: dict[str, LoadFigures]
 
 
 class LoadShare(msgspec.Struct, frozen=True, kw_only=True, tag="share", array_like=True):
-    """What the requests of the entry boxes that report to one control box take, for the others."""
+    """Load of all entry boxes that report to the sender, for other control boxes."""
 
-    order: int
-    """Number of the sender's order of upstreams."""
+    index_number: int
+    """Number of the sender's index of upstreams."""
 
     loads: bytes
-    """Loads as `pack_loads` writes them."""
+    """Loads as encoded by `pack_loads`."""
 
     entries: int
-    """Entry boxes that report to the sender."""
+    """Number of entry boxes that report to the sender."""
 
 
 class LoadTotals(msgspec.Struct, frozen=True, kw_only=True, tag="loads", array_like=True):
-    """What the requests of all entry boxes take on each upstream."""
+    """Load of the requests of all entry boxes on each upstream."""
 
-    order: int
-    """Number of the sender's order of upstreams."""
+    index_number: int
+    """Number of the sender's index of upstreams."""
 
     loads: bytes
-    """Loads as `pack_loads` writes them."""
+    """Loads as encoded by `pack_loads`."""
 
 
-class LoanRequest(msgspec.Struct, frozen=True, kw_only=True, tag="lend?", array_like=True):
-    """An entry box asks for repeats out of the shared reserve."""
+class RetryQuotaRequest(msgspec.Struct, frozen=True, kw_only=True, tag="lend?", array_like=True):
+    """Requests retries beyond the base quota of an entry box."""
 
     call: int
     pool: str
     count: int
 
 
-class LoanReply(msgspec.Struct, frozen=True, kw_only=True, tag="lend", array_like=True):
-    """Repeats that a voter lends; they may be spent for `LOAN_SECONDS` from the asking on."""
+class RetryQuotaReply(msgspec.Struct, frozen=True, kw_only=True, tag="lend", array_like=True):
+    """Number of retries that a voter grants; unused ones expire soon after the request was sent."""
 
     call: int
     count: int
 
 
-class RateLimitNews(msgspec.Struct, frozen=True, kw_only=True, tag="rates", array_like=True):
-    """Upstreams that name how many requests a second they take, or that name none any more."""
+class RateLimitUpdate(msgspec.Struct, frozen=True, kw_only=True, tag="rates", array_like=True):
+    """Rate limits that upstreams advertise or have withdrawn."""
 
     limits: dict[str, ReportedLimit]
-    """What is known of their limits, by run of the upstream."""
+    """Known limits by instance of the upstream."""
 
 
 class GrantRequest(msgspec.Struct, frozen=True, kw_only=True, tag="grants?", array_like=True):
-    """An entry box asks for requests to upstreams that name a limit."""
+    """Requests rate grants for upstreams that advertise a limit."""
 
     call: int
     counts: dict[str, int]
-    """Requests that it wants to send, by run of the upstream."""
+    """Number of requests to send, by instance of the upstream."""
 
     limits: dict[str, ReportedLimit]
-    """What it knows of their limits."""
+    """Limits known to the sender, by instance of the upstream."""
 
 
 class Grant(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Requests to one upstream that a voter lends."""
+    """Requests to one upstream that a voter grants."""
 
     count: int
-    """Requests that may be sent for `GRANT_TTL_SECONDS` from the asking on."""
+    """Number of requests that may be sent within `GRANT_TTL_SECONDS` of the grant request."""
 
     wait: float
-    """How long a box waits for the next one in the mean, in seconds."""
+    """Mean time until the next request is granted, in seconds."""
 
     limit: ReportedLimit
-    """What the sender knows of the upstream's limit."""
+    """Limit of the upstream as known to the sender."""
 
 
 class GrantReply(msgspec.Struct, frozen=True, kw_only=True, tag="grants", array_like=True):
-    """Requests that a voter lends."""
+    """Requests that a voter grants."""
 
     call: int
     grants: dict[str, Grant]
-    """By run of the upstream; empty if the sender is sure of nothing, and lends none."""
+    """Grants by instance of the upstream; empty if the sender cannot confirm the limits."""
 
 
 class VersionQuery(msgspec.Struct, frozen=True, kw_only=True, tag="newest?", array_like=True):
-    """Ask which published version is the newest."""
+    """Queries the newest published version."""
 
     call: int
 
 
 class VersionReply(msgspec.Struct, frozen=True, kw_only=True, tag="newest", array_like=True):
-    """The newest published version, as far as the sender can be sure."""
+    """The newest published version that the sender can confirm."""
 
     call: int
     version: int
     age: float | None
-    """Seconds that the knowledge is old; None if the sender cannot be sure of anything."""
+    """Seconds since the version was confirmed; None if the sender cannot confirm any."""
 
     entries: int = 1
-    """Entry boxes that the sender knows of, among which shared budgets are split."""
+    """Number of entry boxes known to the sender, among which shared budgets are split."""
 
 
 class DocumentPull(msgspec.Struct, frozen=True, kw_only=True, tag="document?", array_like=True):
-    """Ask for the published document if it is newer than a version."""
+    """Requests the published document if it is newer than a version."""
 
     version: int
 
@@ -388,23 +390,23 @@
     | TermQuery
     | TermReply
     | PeerHint
-    | RegistrationNews
-    | OrderOfUpstreams
-    | ChangedOrder
+    | RegistrationUpdate
+    | UpstreamIndexPush
+    | IndexChangePush
     | RegistrationAges
-    | LostReport
-    | LossNews
+    | LossReport
+    | LossUpdate
     | CrashReport
     | ContentServed
-    | SuspectNews
-    | QuarantineNews
-    | OrderNews
+    | SuspectUpdate
+    | QuarantineUpdate
+    | OrderUpdate
     | LoadReport
     | LoadShare
     | LoadTotals
-    | LoanRequest
-    | LoanReply
-    | RateLimitNews
+    | RetryQuotaRequest
+    | RetryQuotaReply
+    | RateLimitUpdate
     | GrantRequest
     | GrantReply
     | VersionQuery
--- a/tests/daemons/gateway/test_borrowing.py
+++ b/tests/daemons/gateway/test_borrowing.py
@@ -11,7 +11,7 @@
 from ledgeladder.daemons.gateway import borrowing
 from ledgeladder.daemons.gateway.borrowing import acquire_retry, handle_quota_reply
 from ledgeladder.daemons.gateway.state import GatewayState
-from ledgeladder.links.messages import LoanReply, LoanRequest
+from ledgeladder.links.messages import RetryQuotaReply, RetryQuotaRequest
 from ledgeladder.routing.retry_window import Retry
 
 from .builders import gateway_state
@@ -24,14 +24,14 @@
 
     def __init__(self, quota: int | None) -> None:
         self.quota = quota
-        self.requests: list[LoanRequest] = []
-        self.replies: list[LoanReply] = []
+        self.requests: list[RetryQuotaRequest] = []
+        self.replies: list[RetryQuotaReply] = []
 
-    def post(self, message: LoanRequest) -> None:
+    def post(self, message: RetryQuotaRequest) -> None:
         self.requests.append(message)
         if self.quota is not None:
             count = min(self.quota, message.count)
-            self.replies.append(LoanReply(call=message.call, count=count))
+            self.replies.append(RetryQuotaReply(call=message.call, count=count))
 
 
 def linked(*quota: int | None) -> tuple[GatewayState, list[ControlBox]]:
@@ -99,7 +99,7 @@
     assert anyio.run(acquire_all, state, boxes, 3) == [None, None, None]
     assert state.batched_quota_requests == {}
     monkeypatch.setattr(borrowing, "LOAN_SECONDS", 0.0)
-    handle_quota_reply(state, LoanReply(call=boxes[0].requests[0].call, count=4))
+    handle_quota_reply(state, RetryQuotaReply(call=boxes[0].requests[0].call, count=4))
     assert anyio.run(acquire_all, state, boxes, 1) == [None]
     assert len(state.pending_quota_requests) == 1
 
--- a/tests/daemons/gateway/test_crashes.py
+++ b/tests/daemons/gateway/test_crashes.py
@@ -20,7 +20,7 @@
 )
 from ledgeladder.daemons.gateway.notes import RequestTrace, content_fingerprint
 from ledgeladder.daemons.gateway.state import GatewayState
-from ledgeladder.links.messages import ContentServed, CrashReport, QuarantineNews, SuspectNews
+from ledgeladder.links.messages import ContentServed, CrashReport, QuarantineUpdate, SuspectUpdate
 from ledgeladder.model import Execution, ProblemError, ResultCode
 
 from .builders import engine, gateway_state
@@ -61,7 +61,9 @@
             refuse_quarantined(state, PERMIT, request(), RequestTrace())
             assert count_crashes(state, PERMIT, request(), RequestTrace()) == number
             fail_attempt(state, f"i-{number}", exited=True)
-        expected = [CrashReport(content=fingerprint(), instance=f"i-{item}") for item in range(3)]
+        expected = [
+            CrashReport(fingerprint=fingerprint(), instance=f"i-{item}") for item in range(3)
+        ]
         assert reports == expected
         with pytest.raises(ProblemError) as caught:
             refuse_quarantined(state, PERMIT, request(), RequestTrace())
@@ -106,11 +108,11 @@
         state = gateway_state()
         reports = collect_reports(state)
         fail_attempt(state, "i-1", exited=True)
-        handle_suspect_update(state, SuspectNews(content=fingerprint(), ends=2))
+        handle_suspect_update(state, SuspectUpdate(fingerprint=fingerprint(), crashes=2))
         assert count_crashes(state, PERMIT, request(), RequestTrace()) == 2
         record_answered(state, PERMIT, request(), RequestTrace())
         assert count_crashes(state, PERMIT, request(), RequestTrace()) == 0
-        assert reports[-1] == ContentServed(content=fingerprint())
+        assert reports[-1] == ContentServed(fingerprint=fingerprint())
 
     anyio.run(play)
 
@@ -118,9 +120,11 @@
 def test_updates_of_control_boxes_are_applied() -> None:
     async def play() -> None:
         state = gateway_state()
-        handle_suspect_update(state, SuspectNews(content=fingerprint(b"1"), ends=CRASH_LIMIT))
+        handle_suspect_update(
+            state, SuspectUpdate(fingerprint=fingerprint(b"1"), crashes=CRASH_LIMIT)
+        )
         handle_quarantine_update(
-            state, QuarantineNews(seconds_left={fingerprint(b"2"): 100.0, fingerprint(b"3"): 0.0})
+            state, QuarantineUpdate(seconds_left={fingerprint(b"2"): 100.0, fingerprint(b"3"): 0.0})
         )
         for body, seconds in ((b"1", UNCONFIRMED_QUARANTINE_SECONDS), (b"2", 100.0)):
             with pytest.raises(ProblemError) as caught:
--- a/tests/daemons/gateway/test_rate_limits.py
+++ b/tests/daemons/gateway/test_rate_limits.py
@@ -16,7 +16,7 @@
 from ledgeladder.daemons.gateway.upstream_call import BackpressureError, open_answer
 from ledgeladder.daemons.limit_keeper import apply_limits, handle_grant_reply, run_rate_limiter
 from ledgeladder.links.frames import LENGTH, decode_payload
-from ledgeladder.links.messages import Grant, GrantReply, GrantRequest, RateLimitNews
+from ledgeladder.links.messages import Grant, GrantReply, GrantRequest, RateLimitUpdate
 from ledgeladder.platform.exchange import read_answer_facts
 from ledgeladder.routing.forwarding_table import (
     ForwardedUpstream,
@@ -35,15 +35,15 @@
     """A link that records the messages sent over it."""
 
     def __init__(self) -> None:
-        self.updates: list[RateLimitNews] = []
+        self.updates: list[RateLimitUpdate] = []
         self.requests: list[GrantRequest] = []
 
     def post(self, message: Any) -> None:
-        (self.updates if isinstance(message, RateLimitNews) else self.requests).append(message)
+        (self.updates if isinstance(message, RateLimitUpdate) else self.requests).append(message)
 
     def post_frame(self, frame: bytes) -> None:
         message = decode_payload(frame[LENGTH.size :])
-        assert isinstance(message, RateLimitNews)
+        assert isinstance(message, RateLimitUpdate)
         self.updates.append(message)
 
 
--- a/tests/daemons/gateway/test_stream_attempt.py
+++ b/tests/daemons/gateway/test_stream_attempt.py
@@ -22,7 +22,7 @@
 from ledgeladder.daemons.gateway.upstream_call import AnswerLostError, NotSentError
 from ledgeladder.http1 import ConnectError
 from ledgeladder.links import tcp
-from ledgeladder.links.messages import LostReport
+from ledgeladder.links.messages import LossReport
 from ledgeladder.routing.event_stream import EventOrder
 from ledgeladder.routing.forwarding_table import FULL_AVOID_SECONDS, is_usable, record_loss
 from ledgeladder.routing.stream_patience import stream_patience
@@ -198,7 +198,7 @@
         report_lost(state, lost, dead)
 
     anyio.run(run)
-    assert posted == [LostReport(instance="i-1")]
+    assert posted == [LossReport(instance="i-1")]
     assert dead == {"i-1"}
     assert lost.lost_at > 0.0
 
--- a/tests/daemons/registry/test_telling.py
+++ b/tests/daemons/registry/test_telling.py
@@ -17,11 +17,11 @@
 from ledgeladder.daemons.registry.state import PendingUpdates
 from ledgeladder.links.frames import FRAME_LIMIT, FrameBuffer
 from ledgeladder.links.messages import (
-    ChangedOrder,
     DocumentPush,
+    IndexChangePush,
     PeerHint,
     RegistrationAges,
-    RegistrationNews,
+    RegistrationUpdate,
 )
 from ledgeladder.model.registration import Registration, UpstreamState
 
@@ -167,14 +167,14 @@
 
     monkeypatch.setattr(telling.anyio, "sleep", sleep)
     anyio.run(run)
-    frames = [message for _at, message in entry.posted if isinstance(message, RegistrationNews)]
-    sent = [item.registration.instance for frame in frames for item in frame.told]
+    frames = [message for _at, message in entry.posted if isinstance(message, RegistrationUpdate)]
+    sent = [item.registration.instance for frame in frames for item in frame.reported]
     assert sent == [registration(number).instance for number in range(UPSTREAMS)]
     assert len(frames) <= 2 * REGISTER_SECONDS / telling.MIN_UPDATE_INTERVAL_SECONDS
-    to_peer = [message for _at, message in peer.posted if isinstance(message, RegistrationNews)]
-    assert sum(len(frame.told) for frame in to_peer) == UPSTREAMS / 5
+    to_peer = [message for _at, message in peer.posted if isinstance(message, RegistrationUpdate)]
+    assert sum(len(frame.reported) for frame in to_peer) == UPSTREAMS / 5
     # Only the added ids are sent, not the whole index at each change.
-    changes = [message for _at, message in entry.posted if isinstance(message, ChangedOrder)]
+    changes = [message for _at, message in entry.posted if isinstance(message, IndexChangePush)]
     assert sum(len(message.change.added) for message in changes) == UPSTREAMS
 
 
--- a/tests/daemons/test_content_judge.py
+++ b/tests/daemons/test_content_judge.py
@@ -22,8 +22,8 @@
 from ledgeladder.links.messages import (
     ContentServed,
     CrashReport,
-    QuarantineNews,
-    SuspectNews,
+    QuarantineUpdate,
+    SuspectUpdate,
 )
 from ledgeladder.model.registration import Registration
 
@@ -53,7 +53,7 @@
 
 
 def report(number: int) -> CrashReport:
-    return CrashReport(content=FINGERPRINT, instance=f"i-{number}")
+    return CrashReport(fingerprint=FINGERPRINT, instance=f"i-{number}")
 
 
 def evaluate(controller: QuarantineController, monkeypatch: pytest.MonkeyPatch) -> list[bytes]:
@@ -85,7 +85,9 @@
     report_crashes(controller, CRASH_LIMIT)
     # A report of an entry box is forwarded once, and known ones are not.
     assert peers.posted == [report(0)]
-    assert entries.posted == [SuspectNews(content=FINGERPRINT, ends=crashes) for crashes in (2, 3)]
+    assert entries.posted == [
+        SuspectUpdate(fingerprint=FINGERPRINT, crashes=crashes) for crashes in (2, 3)
+    ]
     assert evaluate(controller, monkeypatch) == [FINGERPRINT]
     assert evaluate(controller, monkeypatch) == []
 
@@ -102,9 +104,9 @@
     controller = build_controller(Recorder(), peers, alive=set())
     report_crashes(controller, CRASH_LIMIT)
     content_judge.handle_content_served(
-        controller, ContentServed(content=FINGERPRINT), to_peers=True
+        controller, ContentServed(fingerprint=FINGERPRINT), to_peers=True
     )
-    assert peers.posted[-1] == ContentServed(content=FINGERPRINT)
+    assert peers.posted[-1] == ContentServed(fingerprint=FINGERPRINT)
     assert evaluate(controller, monkeypatch) == []
 
 
@@ -133,7 +135,7 @@
     content_judge.broadcast_quarantine(controller)
     content_judge.broadcast_quarantine(controller)
     (update,) = entries.posted
-    assert isinstance(update, QuarantineNews)
+    assert isinstance(update, QuarantineUpdate)
     assert list(update.seconds_left) == [FINGERPRINT]
 
 
--- a/tests/daemons/test_rate_lender.py
+++ b/tests/daemons/test_rate_lender.py
@@ -17,7 +17,7 @@
     record_own_calls,
     run_limit_broadcasts,
 )
-from ledgeladder.links.messages import GrantReply, GrantRequest, RateLimitNews
+from ledgeladder.links.messages import GrantReply, GrantRequest, RateLimitUpdate
 
 RATE = 30.0
 
@@ -56,7 +56,7 @@
         apply_limits(box.granter, {"i": reported()}, to_peers=True)
         apply_limits(box.granter, {"i": reported()}, to_peers=True)
         assert len(box.entries) == len(box.peers) == 1
-        assert isinstance(box.entries[0], RateLimitNews)
+        assert isinstance(box.entries[0], RateLimitUpdate)
         await anyio.sleep(MIN_UPDATE_INTERVAL_SECONDS)
         apply_limits(
             box.granter,
--- a/tests/links/test_frames.py
+++ b/tests/links/test_frames.py
@@ -14,7 +14,7 @@
     FrameBuffer,
     encode_frame,
 )
-from ledgeladder.links.messages import DocumentPush, LinkMessage, RegistrationNews, VersionQuery
+from ledgeladder.links.messages import DocumentPush, LinkMessage, RegistrationUpdate, VersionQuery
 from ledgeladder.model import ProblemError
 from ledgeladder.model.registration import Holding, Liveness, Registration
 
@@ -22,7 +22,7 @@
 """Registrations in one frame: those of 50 ms while 3,000 upstreams register."""
 
 
-def news(count: int) -> RegistrationNews:
+def news(count: int) -> RegistrationUpdate:
     rng = random.Random(count)
     told = [
         Liveness(
@@ -40,7 +40,7 @@
         )
         for number in range(count)
     ]
-    return RegistrationNews(told=tuple(told))
+    return RegistrationUpdate(reported=tuple(told))
 
 
 def compressed(payload: bytes, *, extra: bytes = b"") -> bytes:
