--- a/src/ledgeladder/routing/forwarding_table.py
+++ b/src/ledgeladder/routing/forwarding_table.py
@@ -1,7 +1,7 @@
-"""What an entry box knows of each registered upstream.
+"""Tracks the state of each registered upstream at an entry box.
 
-What it said of itself, the load of this box's requests and of those of others, failures, losses,
-and how slowly it works; from these follow whether it may get new work and what that would cost.
+The state covers its registration, load, failures, losses and slowdown. It decides whether the
+upstream may receive new requests.
 """
 
 from __future__ import annotations
@@ -21,148 +21,151 @@
     from ..model.exchange import UpstreamLoad
 
 AVOID_SECONDS: Final = 1.0
-"""How long an upstream is avoided after a failure; doubled with each further one."""
+"""How long an upstream is avoided after a failure; doubles with each consecutive failure."""
 
 MAX_AVOID_SECONDS: Final = 8.0
-"""Longest time that an upstream is avoided before it gets work again, to find out."""
+"""Maximum time for which an upstream is avoided after failures."""
 
 FULL_AVOID_SECONDS: Final = 0.25
-"""How long an upstream that was full is avoided, about one report interval of an engine."""
+"""How long a full upstream is avoided; about one report interval of an engine."""
 
 INACTIVE_SECONDS: Final = 4.0
-"""An upstream that nobody has heard for this long, over three heartbeats, is a last resort."""
+"""Time since the last heartbeat after which an upstream is only a last resort."""
 
 SUSPECT_SECONDS: Final = 1.0
-"""How long failures of a failure domain are held against it; then it gets work again."""
+"""How long failures make their failure domain suspected."""
 
 MIN_SUSPECT_UPSTREAMS: Final = 2
-"""Upstreams of a failure domain that must fail: one alone is more likely lost itself."""
+"""Minimum number of failed upstreams that make a failure domain suspected; a single failure is more
+likely the upstream's own."""
 
 MAX_KEPT_FAILURES: Final = 16
-"""Failures that are remembered for each failure domain."""
+"""Maximum number of failures kept for each failure domain."""
 
 SLOWDOWN_VALID_SECONDS: Final = 4.0
-"""How long an engine counts as slow from the moment it was asked; then a few requests find out."""
+"""How long the slowdown that an engine reported is used."""
 
 LAST_SEEN_MARGIN_SECONDS: Final = 0.05
-"""How much later than its loss an upstream must have been heard to get work again: ages are told in
-hundredths of a second, and news of a heartbeat takes a few milliseconds."""
+"""Minimum time between a loss and the heartbeat that clears it; covers the rounding of reported
+ages and the delay of heartbeats."""
 
 REPORTED_LOAD_VALID_SECONDS: Final = 0.3
-"""How long the load that an upstream told is believed."""
+"""How long the load that an upstream reported is used."""
 
 
 class ForwardedUpstream(msgspec.Struct, kw_only=True, eq=False):
-    """One run of an upstream, as this box sees it."""
+    """State of one instance of an upstream at this box."""
 
     registration: Registration
-    """What it said of itself."""
+    """Its newest registration."""
 
     last_seen: float
-    """When anybody last heard it, on the own monotonic clock."""
+    """When any box last saw a heartbeat of it, on the local monotonic clock."""
 
     started_at: float = 0.0
-    """Estimate of when the run began, on the own monotonic clock."""
+    """Estimated start of the instance, on the local monotonic clock."""
 
     in_flight: int = 0
     """Requests of this box on it."""
 
     kv_reserved: float = 0.0
-    """Tokens x layers that requests of this box take on it."""
+    """KV cache that requests of this box take on it, in tokens x layers."""
 
     reported_in_flight: int = 0
-    """Requests of this box in its newest report."""
+    """Requests on it in this box's newest load report."""
 
     reported_kv: float = 0.0
-    """Tokens x layers in that report."""
+    """KV cache in that report, in tokens x layers."""
 
     peer_in_flight: int = 0
-    """Requests of other boxes, as last told."""
+    """Requests of other boxes on it, as last reported."""
 
     peer_kv: float = 0.0
-    """Tokens x layers of other boxes, as last told."""
+    """KV cache of other boxes' requests, as last reported, in tokens x layers."""
 
     peer_load_at: float = float("-inf")
-    """When that was told, on the monotonic clock."""
+    """When the load of other boxes was reported, on the monotonic clock."""
 
     failures: int = 0
-    """Failures in a row."""
+    """Consecutive failures."""
 
     avoid_until: float = 0.0
-    """Until when it gets no new work, on the monotonic clock."""
+    """Until when it receives no new requests, on the monotonic clock."""
 
     lost_at: float = float("-inf")
-    """When it was found dead, on the monotonic clock; it gets no new work until somebody has heard
-    it since."""
+    """When it was found lost, on the monotonic clock; it receives no new requests until a later
+    heartbeat is seen."""
 
     exited_at: float = float("-inf")
-    """When its address refused a connection, on the monotonic clock: its process has ended, or a
-    cut refuses connections. A machine without power or behind a silent cut refuses none."""
+    """When its address refused a connection, on the monotonic clock.
+
+    Its process has exited, or the network rejects connections. A machine that is down refuses none.
+    """
 
     last_success_at: float = float("-inf")
-    """When it last showed that it works: an event came over a path through it, or it accepted a
-    probe. On the monotonic clock."""
+    """When an event last arrived over a path through it, or it last accepted a probe, on the
+    monotonic clock."""
 
     slowdown: float = 1.0
-    """How many times slower than usual it works, as it last said; 1 until it first answers."""
+    """Slowdown factor that it last reported; 1 before the first report."""
 
     slowdown_at: float = float("-inf")
-    """When it was last asked for that, on the monotonic clock."""
+    """When its slowdown was last queried, on the monotonic clock."""
 
     load: UpstreamLoad | None = None
-    """Load that it told last."""
+    """Load that it last reported."""
 
     load_at: float = 0.0
-    """When it told it, on the monotonic clock."""
+    """When it reported that load, on the monotonic clock."""
 
     backpressure: Backpressure = msgspec.field(default_factory=Backpressure)
-    """What it asked of this box in answers."""
+    """Back-pressure that it signaled to this box."""
 
     limit: GrantedLimit | None = None
-    """Requests a second that it takes from all boxes together; None if it has named none."""
+    """Its rate limit over all boxes; None if it has none."""
 
     on_lost: set[Callable[[ForwardedUpstream], None]] = msgspec.field(default_factory=set)
-    """Called each time that it is found lost; one for each request that passes it."""
+    """Callbacks for its loss, one for each request that runs on it."""
 
     @property
     def draining(self) -> bool:
-        """True if it must get no new work for good."""
+        """True if it must receive no new requests any more."""
         return self.backpressure.draining or self.registration.state is not UpstreamState.READY
 
 
 class ForwardingTable(msgspec.Struct, kw_only=True):
-    """All upstreams that are registered."""
+    """All registered upstreams."""
 
     upstreams: dict[str, ForwardedUpstream] = msgspec.field(default_factory=dict)
-    """Upstreams by run."""
+    """Upstreams by instance."""
 
     pools: dict[str, list[ForwardedUpstream]] = msgspec.field(default_factory=dict)
-    """The same by pool."""
+    """Upstreams by pool."""
 
     newest: dict[str, str] = msgspec.field(default_factory=dict)
-    """Newest run of each upstream by the id that it keeps over restarts."""
+    """Newest instance of each upstream, by the id that it keeps over restarts."""
 
     backpressure: BackpressureTable = msgspec.field(default_factory=BackpressureTable)
-    """What they asked of this box, kept while they are not registered."""
+    """Back-pressure of upstreams, kept also while they are not registered."""
 
     limits: GrantedLimitTable = msgspec.field(default_factory=GrantedLimitTable)
-    """Requests a second that they take from all boxes together, likewise."""
+    """Rate limits of upstreams, kept also while they are not registered."""
 
     heartbeat: float = 1.0
-    """Time between two heartbeats of an upstream, in seconds."""
+    """Heartbeat interval of upstreams, in seconds."""
 
 
 class SuspectedDomains(msgspec.Struct, kw_only=True):
-    """Failure domains that may be cut off from this one or from its engines."""
+    """Failure domains that may be partitioned from this one or from its engines."""
 
     failures: dict[str, list[tuple[float, str]]] = msgspec.field(default_factory=dict)
-    """Recent failures by failure domain: when, and at which upstream."""
+    """Recent failures by failure domain: time and instance of the upstream."""
 
 
 def record_domain_failure(
     suspected: SuspectedDomains, upstream: ForwardedUpstream, now: float
 ) -> None:
-    """Note that an upstream of another failure domain failed or refused."""
+    """Record a failure or refusal by an upstream of another failure domain."""
     registration = upstream.registration
     recent = suspected.failures.setdefault(registration.failure_domain, [])
     recent.append((now, registration.instance))
@@ -170,7 +173,7 @@
 
 
 def is_suspected(suspected: SuspectedDomains, domain: str, now: float) -> bool:
-    """Tell whether two upstreams of a failure domain have failed lately, as in a cut."""
+    """Return whether enough upstreams of a failure domain failed lately to suspect a partition."""
     recent = suspected.failures.get(domain, ())
     return len({name for at, name in recent if now - at < SUSPECT_SECONDS}) >= MIN_SUSPECT_UPSTREAMS
 
@@ -178,15 +181,15 @@
 def put_registration(
     table: ForwardingTable, registration: Registration, last_seen: float
 ) -> ForwardedUpstream | None:
-    """Take in a registration that is newer than what was known.
+    """Add or update an upstream from a registration that is newer than the known one.
 
     Args:
         table: The table.
         registration: The registration.
-        last_seen: When the upstream was heard, on the own monotonic clock.
+        last_seen: When the upstream's heartbeat was seen, on the local monotonic clock.
 
     Returns:
-        The upstream, or None if it has ended.
+        The upstream, or None if it is gone.
     """
     upstream = table.upstreams.get(registration.instance)
     if registration.state is UpstreamState.GONE:
@@ -194,7 +197,7 @@
         return None
     started_at = run_began(registration, last_seen, table.heartbeat)
     if upstream is None:
-        # The first message is sent at the beginning: one interval less than for comparing runs.
+        # The first heartbeat is sent at the start, so the instance is one interval younger.
         backpressure = find_backpressure(
             table.backpressure, registration, started_at + table.heartbeat
         )
@@ -219,14 +222,14 @@
 
 
 def set_limit(table: ForwardingTable, instance: str, limit: GrantedLimit | None) -> None:
-    """Give an upstream its limit, or take it away, if it is registered."""
+    """Set or clear the rate limit of an upstream if it is registered."""
     upstream = table.upstreams.get(instance)
     if upstream is not None:
         upstream.limit = limit
 
 
 def pool_limits(table: ForwardingTable, pool: str) -> list[GrantedLimit]:
-    """Return the limits of the registered upstreams of a pool that do not leave."""
+    """Return the rate limits of the registered upstreams of a pool that aren't draining."""
     return [
         limit
         for instance, limit in table.limits.limits.items()
@@ -237,18 +240,18 @@
 
 
 def drop_upstream(table: ForwardingTable, instance: str) -> None:
-    """Forget an upstream; requests in progress on it go on."""
-    held = table.upstreams.pop(instance, None)
-    if held is None:
+    """Remove an upstream; its requests in progress continue."""
+    upstream = table.upstreams.pop(instance, None)
+    if upstream is None:
         return
-    _leave_pool(table, held)
-    upstream = held.registration.upstream_id
-    if table.newest.get(upstream) == instance:
-        del table.newest[upstream]
+    _leave_pool(table, upstream)
+    upstream_id = upstream.registration.upstream_id
+    if table.newest.get(upstream_id) == instance:
+        del table.newest[upstream_id]
 
 
 def other_instance(table: ForwardingTable, registration: Registration) -> ForwardedUpstream | None:
-    """Return the known run of an upstream if a registration names another one; else None."""
+    """Return the known instance of an upstream if a registration names another one; else None."""
     newest = table.newest.get(registration.upstream_id, registration.instance)
     return None if newest == registration.instance else table.upstreams.get(newest)
 
@@ -260,19 +263,16 @@
 
 
 def record_success(upstream: ForwardedUpstream) -> None:
-    """Note that an upstream did its work.
-
-    It is avoided no longer, whether it had failed, was full or was found dead.
-    """
+    """Record a success of an upstream, which ends avoidance after failures, fullness or loss."""
     upstream.failures = 0
     upstream.avoid_until = 0.0
     upstream.lost_at = float("-inf")
 
 
 def record_failure(upstream: ForwardedUpstream, now: float) -> None:
-    """Note that an upstream failed, and avoid it for a while, longer with each failure in a row."""
+    """Record a failure of an upstream and avoid it, each time for longer."""
     if now < upstream.avoid_until:
-        # Several requests fail together when one upstream is lost; they count once.
+        # Concurrent requests that fail together count as one failure.
         return
     upstream.failures += 1
     seconds = min(AVOID_SECONDS * 2 ** (upstream.failures - 1), MAX_AVOID_SECONDS)
@@ -280,7 +280,7 @@
 
 
 def record_loss(upstream: ForwardedUpstream, now: float) -> None:
-    """Note that an upstream does not answer at all, and tell the requests that pass it."""
+    """Record the loss of an upstream and notify the requests that run on it."""
     record_failure(upstream, now)
     upstream.lost_at = now
     for callback in list(upstream.on_lost):
@@ -288,15 +288,15 @@
 
 
 def record_exit(upstream: ForwardedUpstream, now: float) -> None:
-    """Note that nobody listens at an upstream's address."""
+    """Record that an upstream's address refuses connections."""
     upstream.exited_at = now
 
 
 def record_reported_loss(upstream: ForwardedUpstream, now: float) -> bool:
-    """Note that other boxes found an upstream dead; it gets no new work until it is heard.
+    """Record a loss that other boxes reported; the upstream gets no new requests until it is seen.
 
     Returns:
-        False if that was known already.
+        False if the loss was known.
     """
     if upstream.lost_at > upstream.last_seen:
         return False
@@ -305,17 +305,17 @@
 
 
 def record_reachable(upstream: ForwardedUpstream) -> None:
-    """Note that an upstream which other boxes found dead answers this one."""
+    """Clear the loss of an upstream that other boxes reported but that this box reaches."""
     upstream.lost_at = float("-inf")
 
 
 def record_full(upstream: ForwardedUpstream, now: float) -> None:
-    """Note that an upstream had no room."""
+    """Record that an upstream was full, and avoid it briefly."""
     upstream.avoid_until = max(upstream.avoid_until, now + FULL_AVOID_SECONDS)
 
 
 def record_load(upstream: ForwardedUpstream, load: UpstreamLoad | None, now: float) -> None:
-    """Note the load that an upstream told in an answer."""
+    """Record the load that an upstream reported in an answer."""
     if load is not None:
         upstream.load = load
         upstream.load_at = now
@@ -324,12 +324,12 @@
 def apply_peer_load(
     upstream: ForwardedUpstream, in_flight: int, kv_reserved: float, now: float
 ) -> None:
-    """Take in what the requests of all boxes, this one included, take on an upstream.
+    """Update the load of other boxes on an upstream.
 
     Args:
         upstream: The upstream.
-        in_flight: Requests of all boxes.
-        kv_reserved: Their tokens x layers.
+        in_flight: Requests of all boxes, including this one.
+        kv_reserved: KV cache that they take, in tokens x layers.
         now: Monotonic time.
     """
     upstream.peer_in_flight = max(0, in_flight - upstream.reported_in_flight)
@@ -338,7 +338,7 @@
 
 
 def has_recent_peer_load(upstream: ForwardedUpstream, now: float) -> bool:
-    """Tell whether the load of other boxes was told lately."""
+    """Return whether the load of other boxes was reported recently."""
     return now - upstream.peer_load_at < LOAD_BELIEVED_SECONDS
 
 
@@ -348,8 +348,8 @@
     Args:
         upstream: The upstream.
         now: Monotonic time.
-        sharers: Factor from the own requests to those of all boxes. It is used where nothing was
-            told, and for what came since the own load was last reported.
+        sharers: Ratio of all boxes' requests to this box's. It scales this box's load where other
+            boxes' load is unknown, and its growth since its last report otherwise.
     """
     if not has_recent_peer_load(upstream, now):
         return upstream.in_flight * sharers
@@ -358,12 +358,12 @@
 
 
 def total_kv(upstream: ForwardedUpstream, now: float, sharers: float) -> float:
-    """Estimate the tokens x layers of all boxes on an engine.
+    """Estimate the KV cache that requests of all boxes take on an engine, in tokens x layers.
 
     Args:
         upstream: The engine.
         now: Monotonic time.
-        sharers: Factor from the own requests to those of all boxes, as for `total_in_flight`.
+        sharers: Ratio of all boxes' requests to this box's, as for `total_in_flight`.
     """
     if not has_recent_peer_load(upstream, now):
         return upstream.kv_reserved * sharers
@@ -372,33 +372,33 @@
 
 
 def _peer_growth(own_growth: float, sharers: float) -> float:
-    """Estimate how much the load of other boxes grew since they were last heard of.
+    """Estimate how much the load of other boxes grew since it was last reported.
 
-    They see the same upstreams and choose alike: when an engine is lost, all of them move their
-    requests to the same others at the same moment.
+    All boxes choose alike: when an engine is lost, they move its requests to the same engines at
+    the same time.
     """
     return max(0.0, own_growth) * max(0.0, sharers - 1.0)
 
 
 def utilization(upstream: ForwardedUpstream, now: float, sharers: int) -> float:
-    """Estimate how full a plain service is, in requests per slot.
+    """Estimate the utilization of a plain service, in requests per slot.
 
     Args:
         upstream: The service.
         now: Monotonic time.
-        sharers: Entry boxes. Where their load was not told lately and there are others, the own
-            requests count one and a half times.
+        sharers: Number of entry boxes. If there are others and their load is unknown, this box's
+            requests count 1.5 times.
     """
     return estimated_requests(upstream, now, sharers) / max(1, upstream.registration.slots)
 
 
 def estimated_requests(upstream: ForwardedUpstream, now: float, sharers: int) -> float:
-    """Estimate the requests that a plain service holds, those that wait included.
+    """Estimate the running and waiting requests on a plain service.
 
     Args:
         upstream: The service.
         now: Monotonic time.
-        sharers: Entry boxes, as for `utilization`.
+        sharers: Number of entry boxes, as for `utilization`.
     """
     estimate = total_in_flight(upstream, now, 1.5 if sharers > 1 else 1.0)
     load = upstream.load
@@ -408,7 +408,7 @@
 
 
 def is_at_max_requests(upstream: ForwardedUpstream, now: float, sharers: int) -> bool:
-    """Tell whether a plain service holds as much as it may, since more had it ask for rest."""
+    """Return whether a plain service has reached the cap that its back-pressure set."""
     backpressure = upstream.backpressure
     return (
         now < backpressure.max_requests_until
@@ -417,35 +417,35 @@
 
 
 def is_backing_off(upstream: ForwardedUpstream, now: float) -> bool:
-    """Tell whether an upstream wants nothing from this box right now."""
+    """Return whether an upstream's back-off is in force."""
     return now < upstream.backpressure.backoff_until
 
 
 def accepts_work(upstream: ForwardedUpstream, now: float) -> bool:
-    """Tell whether an upstream has not said that it wants no new work, now or for good."""
+    """Return whether draining, back-off and rate limit permit new requests to an upstream."""
     if upstream.draining or is_backing_off(upstream, now):
         return False
     return has_grant(upstream.limit, now)
 
 
 def remaining_wait(upstream: ForwardedUpstream, now: float) -> float:
-    """Return when an upstream that does not leave wants work again, in seconds; 0 if it does."""
+    """Return the time until back-off and rate limit permit a request, in seconds; 0 if they do."""
     backoff = upstream.backpressure.backoff_until - now
     return max(0.0, backoff, grant_wait(upstream.limit, now))
 
 
 def min_remaining_wait(upstreams: Iterable[ForwardedUpstream], now: float) -> float | None:
-    """Return when the first of some upstreams wants work again, in seconds.
+    """Return the shortest `remaining_wait` of some upstreams, in seconds.
 
     Returns:
-        None if one of them wants some, or there are none. Those that leave count for nothing.
+        None if one of them accepts requests now, or if all of them are draining.
     """
     waits = [remaining_wait(item, now) for item in upstreams if not item.draining]
     return min(waits) if waits and min(waits) > 0 else None
 
 
 def is_usable(upstream: ForwardedUpstream, now: float) -> bool:
-    """Tell whether an upstream may get new work right now."""
+    """Return whether an upstream may receive new requests now."""
     if not accepts_work(upstream, now) or now < upstream.avoid_until:
         return False
     return upstream.last_seen > upstream.lost_at + LAST_SEEN_MARGIN_SECONDS
@@ -454,16 +454,16 @@
 def has_alternative(
     pool: list[ForwardedUpstream], upstream: ForwardedUpstream, tried: set[str], now: float
 ) -> bool:
-    """Tell whether a request could be tried at another upstream right now.
+    """Return whether a request could be sent to another upstream now.
 
     Args:
         pool: Upstreams of the pool.
-        upstream: Where the request is.
-        tried: Runs of upstreams that it was tried at.
+        upstream: Current upstream of the request.
+        tried: Instances that the request was sent to.
         now: Monotonic time.
 
     Returns:
-        False too if the only other one has the same address: that is an older run of it.
+        False also if the only other one has the same address, as it is an older instance.
     """
     address = upstream.registration.address
     return any(
@@ -475,20 +475,20 @@
 
 
 def covers_layers(engines: Iterable[ForwardedUpstream], layers: int) -> bool:
-    """Tell whether some engines together hold all layers of a model."""
-    held: set[int] = set()
+    """Return whether some engines together hold all layers of a model."""
+    covered: set[int] = set()
     for engine in engines:
         for item in engine.registration.holdings:
-            held.update(range(item.first, min(item.end, layers)))
-    return len(held) >= layers
+            covered.update(range(item.first, min(item.end, layers)))
+    return len(covered) >= layers
 
 
 def is_inactive(upstream: ForwardedUpstream, now: float) -> bool:
-    """Tell whether nobody has heard an upstream for so long that it is likely lost."""
+    """Return whether no heartbeat of an upstream was seen for so long that it is likely lost."""
     return now - upstream.last_seen > INACTIVE_SECONDS
 
 
 def slow_factor(upstream: ForwardedUpstream, now: float) -> float:
-    """Return how many times slower than usual an engine is likely to work; at least 1."""
-    is_believed = now - upstream.slowdown_at < SLOWDOWN_VALID_SECONDS
-    return max(1.0, upstream.slowdown) if is_believed else 1.0
+    """Return the slowdown factor of an engine; at least 1."""
+    is_valid = now - upstream.slowdown_at < SLOWDOWN_VALID_SECONDS
+    return max(1.0, upstream.slowdown) if is_valid else 1.0
--- a/src/ledgeladder/routing/rate_grants.py
+++ b/src/ledgeladder/routing/rate_grants.py
@@ -1,7 +1,7 @@
-"""What an entry box may send to upstreams that name how many requests a second they take.
+"""Tracks the requests that an entry box may send to rate-limited upstreams.
 
-The figure is for all boxes together. While it holds, a request goes to such an upstream only if a
-control box has lent it.
+An upstream's limit applies to all boxes together. While it is in force, each request to the
+upstream needs a grant from a control box.
 """
 
 from __future__ import annotations
@@ -18,63 +18,62 @@
     from collections.abc import Iterable
 
 REQUEST_INTERVAL_SECONDS: Final = 1.0
-"""How often a box asks for requests at most, for all limited upstreams in one message."""
+"""Minimum time between two requests for grants; one message covers all limited upstreams."""
 
 REQUEST_GROWTH: Final = 2
-"""How many times what a box sent since it asked last it asks for, so that what is lent goes to the
-boxes that use it."""
+"""Factor between the grants used since the last request and those requested next."""
 
 
 class GrantedLimit(msgspec.Struct, kw_only=True):
-    """The limit of one run of an upstream, at one entry box."""
+    """The rate limit of one instance of an upstream, and the grants that this box has for it."""
 
     limit: RateLimit
-    """What is known of it."""
+    """The limit itself."""
 
     grants: deque[float] = msgspec.field(default_factory=deque)
-    """Until when each request that was lent may be sent, on the monotonic clock, soonest first."""
+    """Expiry of each unused grant, on the monotonic clock, soonest first."""
 
     demand: int = 0
-    """Requests that the upstream was looked at for since this box last asked."""
+    """Requests that considered this upstream since grants were last requested."""
 
     used: int = 0
-    """Requests that were sent to it since then."""
+    """Grants used since then."""
 
     wait_until: float = float("-inf")
-    """When the next request is likely to be lent, on the monotonic clock."""
+    """When the next grant is expected, on the monotonic clock."""
 
     sent: int = 0
-    """Requests of this box since that was last logged."""
+    """Requests sent by this box since the last log line."""
 
     granted: int = 0
-    """Requests that were lent to it since then."""
+    """Grants received by this box since then."""
 
 
 class GrantedLimitTable(msgspec.Struct, kw_only=True):
-    """Limits of all upstreams that name one."""
+    """Limits of all rate-limited upstreams."""
 
     limits: dict[str, GrantedLimit] = msgspec.field(default_factory=dict)
-    """Limits by run of the upstream."""
+    """Limits by instance of the upstream."""
 
     requested_at: float = float("-inf")
-    """When this box last asked for requests, on the monotonic clock."""
+    """When this box last requested grants, on the monotonic clock."""
 
 
 def is_limited(limit: GrantedLimit | None, now: float) -> bool:
-    """Tell whether an upstream gets only requests that were lent."""
+    """Return whether requests to an upstream need grants."""
     return limit is not None and not math.isinf(effective_rate(limit.limit, now))
 
 
 def any_limited(limits: Iterable[GrantedLimit | None], now: float) -> bool:
-    """Tell whether any of some upstreams gets only requests that were lent."""
+    """Return whether requests to any of some upstreams need grants."""
     return any(is_limited(limit, now) for limit in limits)
 
 
 def record_demand(limits: Iterable[GrantedLimit | None], now: float) -> bool:
-    """Note that a request looks for one of some upstreams, as far as they have limits.
+    """Record that a request considers some upstreams.
 
     Returns:
-        True if one of them has nothing left that was lent, so that more is to be asked for.
+        True if one of them lacks a grant, so that grants must be requested.
     """
     limited = [limit for limit in limits if limit is not None]
     for limit in limited:
@@ -83,7 +82,7 @@
 
 
 def has_grant(limit: GrantedLimit | None, now: float) -> bool:
-    """Tell whether a request may be sent to an upstream as far as its limit goes."""
+    """Return whether the rate limit of an upstream permits a request now."""
     if limit is None or not is_limited(limit, now):
         return True
     while limit.grants and limit.grants[0] <= now:
@@ -92,7 +91,7 @@
 
 
 def acquire_grants(limits: Iterable[GrantedLimit | None], now: float) -> bool:
-    """Spend a request at each of some upstreams, or at none if one of them has none left."""
+    """Use one grant of each of some upstreams, or of none if one of them has no grant left."""
     limited = [limit for limit in limits if limit is not None and is_limited(limit, now)]
     if not all(has_grant(limit, now) for limit in limited):
         return False
@@ -104,25 +103,25 @@
 
 
 def add_grants(limit: GrantedLimit, count: int, until: float) -> None:
-    """Take in requests that were lent, to be sent until a monotonic time."""
+    """Add grants that expire at a monotonic time."""
     limit.grants.extend([until] * count)
     limit.granted += count
 
 
 def grants_to_request(limit: GrantedLimit) -> int:
-    """Return how many requests to ask for, and begin to count anew."""
+    """Return how many grants to request, and reset the counters."""
     count = min(limit.demand, 1 + REQUEST_GROWTH * limit.used)
     limit.demand = limit.used = 0
     return count
 
 
 def split_evenly(count: int, index: int, parts: int) -> int:
-    """Return how many of some requests one of several lenders is asked for.
+    """Return one part of a count that is split as evenly as possible.
 
     Args:
-        count: Requests.
-        index: Number of the lender; those with low numbers are asked for the odd ones.
-        parts: Number of lenders.
+        count: Total to split.
+        index: Index of the part; the remainder goes to the lowest indexes.
+        parts: Number of parts.
 
     >>> [split_evenly(4, turn, 3) for turn in range(3)]
     [2, 1, 1]
@@ -131,7 +130,7 @@
 
 
 def grant_wait(limit: GrantedLimit | None, now: float) -> float:
-    """Return how long it takes in the mean until a request may be sent, in seconds."""
+    """Return the expected time until a request may be sent, in seconds."""
     if limit is None or has_grant(limit, now):
         return 0.0
     return max(limit.wait_until - now, mean_interval(limit.limit, now))
--- a/src/ledgeladder/routing/retry_budget.py
+++ b/src/ledgeladder/routing/retry_budget.py
@@ -1,4 +1,4 @@
-"""A budget that keeps retries to a share of first tries, so that a failure makes no storm."""
+"""Limits retries to a share of first tries, to prevent retry storms."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 
 class RetryBudget(msgspec.Struct, kw_only=True):
-    """Retries that may still be made."""
+    """Token bucket of retries."""
 
     share: float = 0.1
     """Retries allowed per first try."""
 
     reserve: float = 10.0
-    """Most retries that can be saved up; also what a new process starts with."""
+    """Maximum balance."""
 
     balance: float = 10.0
-    """Retries that may be made now."""
+    """Retries available now."""
 
 
 def record_first_try(budget: RetryBudget) -> None:
-    """Earn a share of a retry."""
+    """Record a first try, which adds `share` to the balance."""
     budget.balance = min(budget.balance + budget.share, budget.reserve)
 
 
 def acquire_retry(budget: RetryBudget) -> bool:
-    """Spend one retry.
+    """Take one retry from the budget.
 
     Returns:
-        False if the budget is spent and the request must be given up.
+        False if the budget is used up and the request must fail.
 
     >>> budget = RetryBudget(balance=1.0)
     >>> acquire_retry(budget), acquire_retry(budget)
--- a/src/ledgeladder/routing/upstream_table.py
+++ b/src/ledgeladder/routing/upstream_table.py
@@ -1,4 +1,4 @@
-"""What one entry box knows of each upstream: own requests in progress, health, reported load."""
+"""Tracks each upstream at one entry box: requests in progress, health and reported load."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 logger = logging.getLogger(__name__)
 
 SUSPECT_SECONDS: Final = 1.0
-"""How long a service is passed over after a failure; doubles with each failure in a row."""
+"""How long a service is suspected after a failure; doubles with each consecutive failure."""
 
 MAX_SUSPECT_SECONDS: Final = 8.0
 
@@ -29,31 +29,31 @@
     """Its object in the configuration."""
 
     in_flight: int = 0
-    """Requests of this box that it is working on."""
+    """Requests of this box in progress on it."""
 
     reported_load: float = 0.0
-    """Requests that it last said to be working on, those of other boxes included."""
+    """Requests of all boxes in progress on it, as it last reported."""
 
     listed_draining: bool = False
-    """True if the platform's list says that it is leaving."""
+    """True if the platform's list says that it is draining."""
 
     reported_draining: bool = False
-    """True if it said itself that it is leaving."""
+    """True if it reported that it is draining."""
 
     reported_down: bool = False
-    """True if the boxes that watch it get no answer."""
+    """True if the boxes that monitor it get no answer."""
 
     backoff_until: float = -math.inf
-    """Until when it wants nothing from this box, as it said, on the monotonic clock."""
+    """End of the back-off that it asked for, on the monotonic clock."""
 
     limit: GrantedLimit | None = None
-    """Requests a second that it takes from all boxes together; None if it has named none."""
+    """Its rate limit over all boxes; None if it has none."""
 
     suspect_until: float = 0.0
-    """Until when it is passed over because of failures, on the monotonic clock."""
+    """Until when it is suspected because of failures, on the monotonic clock."""
 
     failures: int = 0
-    """Failures in a row."""
+    """Consecutive failures."""
 
 
 class UpstreamTable(msgspec.Struct, kw_only=True):
@@ -63,11 +63,11 @@
     """Views by name."""
 
     limits: GrantedLimitTable = msgspec.field(default_factory=GrantedLimitTable)
-    """Requests a second that upstreams take from all boxes together, by name."""
+    """Rate limits of upstreams, by name."""
 
 
 def update_upstreams(table: UpstreamTable, configuration: Configuration) -> None:
-    """Bring the table in line with a configuration, keeping what is known of each upstream.
+    """Update the table to a configuration, keeping the state of each remaining upstream.
 
     Args:
         table: The table.
@@ -77,7 +77,7 @@
     for name, upstream in configuration.upstreams.items():
         view = table.views.get(name)
         if view is not None and view.upstream.address != upstream.address:
-            # Another process, which has named nothing yet.
+            # Another process, whose limit isn't known yet.
             table.limits.limits.pop(name, None)
             view = None
         if view is None:
@@ -88,10 +88,10 @@
 
 
 def record_failure(view: UpstreamView, now: float) -> None:
-    """Pass an upstream over after a failure.
+    """Record a failure of an upstream, which makes it suspected.
 
-    An engine is passed over until it answers a probe, so that no request finds out again that it
-    is gone. A service has no probe and is passed over for a while, longer with each failure.
+    An engine is suspected until it answers a probe, so no further request fails on it. A service
+    has no probe and is suspected for a time that doubles with each failure.
 
     Args:
         view: The upstream.
@@ -106,20 +106,19 @@
 
 
 def record_success(view: UpstreamView) -> None:
-    """Trust an upstream again."""
+    """Record a success of an upstream, which clears its suspicion."""
     view.failures = 0
     view.suspect_until = 0.0
 
 
 def record_backoff(view: UpstreamView, seconds: float, now: float) -> None:
-    """Take in that an upstream wants nothing for some time; a shorter one shortens no earlier one.
+    """Record a back-off that an upstream asked for; an earlier back-off is never shortened.
 
-    Unlike a time of suspicion it is no guess of this box, and no answer to an earlier request ends
-    it.
+    Unlike suspicion, a back-off isn't cleared by the success of an earlier request.
 
     Args:
         view: The upstream.
-        seconds: How long.
+        seconds: Length of the back-off.
         now: Monotonic time in seconds.
     """
     until = now + seconds
@@ -133,15 +132,15 @@
 
 
 def is_backing_off(view: UpstreamView, now: float) -> bool:
-    """Tell whether an upstream wants nothing from this box right now."""
+    """Return whether an upstream's back-off is in force."""
     return now < view.backoff_until
 
 
 def min_remaining_wait(views: Iterable[UpstreamView], now: float) -> float | None:
-    """Return when the first of some upstreams wants work again, in seconds.
+    """Return the shortest `remaining_wait` of some upstreams, in seconds.
 
     Returns:
-        None if one of them wants some, or there are none. Those that leave count for nothing.
+        None if one of them accepts requests now, or if all of them are draining.
     """
     waits = [
         remaining_wait(view, now)
@@ -152,19 +151,19 @@
 
 
 def set_limit(table: UpstreamTable, name: str, limit: GrantedLimit | None) -> None:
-    """Give an upstream its limit, or take it away, if the configuration names it."""
+    """Set or clear the rate limit of an upstream if the configuration contains it."""
     view = table.views.get(name)
     if view is not None:
         view.limit = limit
 
 
 def remaining_wait(view: UpstreamView, now: float) -> float:
-    """Return when an upstream wants work again, as far as it said so, in seconds; 0 if it does."""
+    """Return the time until back-off and rate limit permit a request, in seconds; 0 if they do."""
     return max(0.0, view.backoff_until - now, grant_wait(view.limit, now))
 
 
 def is_usable(view: UpstreamView, now: float, within: float = 0.0) -> bool:
-    """Tell whether new work may go to an upstream, now or within some seconds."""
+    """Return whether an upstream may receive new requests, now or within some seconds."""
     if remaining_wait(view, now) > within:
         return False
     if view.listed_draining or view.reported_draining or view.reported_down:
@@ -173,13 +172,13 @@
 
 
 def apply_report(view: UpstreamView, *, live: bool, draining: bool, running: int) -> None:
-    """Take over what a watching box saw of an upstream.
+    """Apply the report of a box that monitors an upstream.
 
     Args:
         view: The upstream.
         live: Whether it answered.
-        draining: Whether it said that it is leaving.
-        running: Requests that it said to be working on.
+        draining: Whether it reported that it is draining.
+        running: Requests in progress that it reported.
     """
     view.reported_down = not live
     if live:
@@ -188,18 +187,18 @@
 
 
 def apply_draining_list(table: UpstreamTable, draining: set[str]) -> None:
-    """Take over the platform's list of leaving upstreams.
+    """Apply the platform's list of draining upstreams.
 
     Args:
         table: The table.
-        draining: Addresses that the list calls leaving.
+        draining: Addresses of the draining upstreams.
     """
     for view in table.views.values():
         view.listed_draining = view.upstream.address in draining
 
 
 def suspected_engines(table: UpstreamTable, now: float) -> list[UpstreamView]:
-    """Return the engines that are passed over until they answer a probe, and want to be asked."""
+    """Return the suspected engines that may be probed now."""
     return [
         view
         for view in table.views.values()
--- a/tests/routing/test_forwarding.py
+++ b/tests/routing/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Routes, budgets, doubts and events of forwarded traffic."""
+"""Routes, retry budgets, suspected failure domains and events of forwarded traffic."""
 
 from __future__ import annotations
 
@@ -80,27 +80,27 @@
     assert "none" not in drawn
 
 
-def test_budgets_of_all_boxes_together_keep_the_shared_one() -> None:
+def test_retries_of_all_boxes_stay_within_the_shared_budget() -> None:
     entries = 8
     windows = [RetryWindow(ratio=0.2, reserve=200.0, seconds=10.0) for _ in range(entries)]
     rng = random.Random(2)
-    sent: list[float] = []
-    firsts: list[float] = []
+    retries_sent: list[float] = []
+    first_tries: list[float] = []
     for step in range(20_000):
         now = step * 0.002
         window = rng.choice(windows)
         if rng.random() < 0.1:
             record_first_try(window, now)
-            firsts.append(now)
+            first_tries.append(now)
         if acquire_local_retry(window, now, entries):
-            sent.append(now)
+            retries_sent.append(now)
     for end in range(10, 40):
-        repeats = sum(end - 10 < at <= end for at in sent)
-        requests = sum(end - 10 < at <= end for at in firsts)
-        assert repeats <= 0.2 * requests + 200
+        retries = sum(end - 10 < at <= end for at in retries_sent)
+        requests = sum(end - 10 < at <= end for at in first_tries)
+        assert retries <= 0.2 * requests + 200
 
 
-def test_one_failure_of_many_requests_counts_once_and_is_forgiven() -> None:
+def test_concurrent_failures_count_once_and_avoidance_expires() -> None:
     upstream = ForwardedUpstream(registration=Registration(instance="i", sequence=1), last_seen=0.0)
     for _ in range(20):
         record_failure(upstream, 1.0)
@@ -113,71 +113,71 @@
     assert is_usable(upstream, 4.0)
 
 
-def test_doubt_needs_two_upstreams_and_passes() -> None:
-    doubts = SuspectedDomains()
+def test_suspicion_needs_two_upstreams_and_expires() -> None:
+    suspected = SuspectedDomains()
 
     def upstream(name: str) -> ForwardedUpstream:
         registration = Registration(instance=name, sequence=1, failure_domain="b")
         return ForwardedUpstream(registration=registration, last_seen=0.0)
 
-    record_domain_failure(doubts, upstream("one"), 1.0)
-    record_domain_failure(doubts, upstream("one"), 1.1)
-    assert not is_suspected(doubts, "b", 1.2)
-    record_domain_failure(doubts, upstream("two"), 1.2)
-    assert is_suspected(doubts, "b", 1.3)
-    assert not is_suspected(doubts, "a", 1.3)
-    assert not is_suspected(doubts, "b", 2.5)
+    record_domain_failure(suspected, upstream("one"), 1.0)
+    record_domain_failure(suspected, upstream("one"), 1.1)
+    assert not is_suspected(suspected, "b", 1.2)
+    record_domain_failure(suspected, upstream("two"), 1.2)
+    assert is_suspected(suspected, "b", 1.3)
+    assert not is_suspected(suspected, "a", 1.3)
+    assert not is_suspected(suspected, "b", 2.5)
 
 
-def test_broken_event_never_passes_however_the_bytes_are_cut() -> None:
+def test_partial_event_is_never_forwarded() -> None:
     whole = b"".join(b"id: %d\ndata: x%d\n\n" % (n, n) for n in range(30))
     for seed in range(50):
         rng = random.Random(seed)
         cuts = sorted(rng.sample(range(len(whole)), 12))
         end = cuts[-1]
-        buffer, order, passed = EventBuffer(), EventOrder(last_id=None), b""
+        buffer, order, forwarded = EventBuffer(), EventOrder(last_id=None), b""
         for start, stop in zip([0, *cuts], cuts, strict=False):
             for event in buffer.feed(whole[start:stop]):
                 assert accept_event(order, event)
-                passed += event.data
-        assert whole.startswith(passed)
-        assert passed.endswith(b"\n\n") or not passed
-        assert len(passed) <= end
-        # Another run carries on behind the last event, repeats some and loses none.
+                forwarded += event.data
+        assert whole.startswith(forwarded)
+        assert forwarded.endswith(b"\n\n") or not forwarded
+        assert len(forwarded) <= end
+        # Another attempt continues after the last event, retries some and loses none.
         resumed = EventBuffer()
         for event in resumed.feed(whole):
             if accept_event(order, event):
-                passed += event.data
-        assert passed == whole
+                forwarded += event.data
+        assert forwarded == whole
 
 
-def test_missing_event_ends_a_run() -> None:
+def test_missing_event_ends_an_attempt() -> None:
     order = EventOrder(last_id=3)
-    [late] = EventBuffer().feed(b"id: 5\n\n")
-    assert accept_event(order, late) is None
+    [skipping] = EventBuffer().feed(b"id: 5\n\n")
+    assert accept_event(order, skipping) is None
     assert order.last_id == 3
 
 
-def test_no_alternative_in_a_leaving_avoided_tried_or_older_upstream() -> None:
-    """A request once left its only upstream early and was answered with a failure."""
+def test_draining_avoided_tried_or_older_upstream_is_no_alternative() -> None:
+    """A request must not leave its only usable upstream and fail."""
 
-    def upstream(name: str, address: str, *, leaving: bool = False) -> ForwardedUpstream:
-        state = UpstreamState.LEAVING if leaving else UpstreamState.READY
+    def upstream(name: str, address: str, *, draining: bool = False) -> ForwardedUpstream:
+        state = UpstreamState.LEAVING if draining else UpstreamState.READY
         registration = Registration(instance=name, sequence=1, address=address, state=state)
         return ForwardedUpstream(registration=registration, last_seen=0.0)
 
     own, older = upstream("own", "a:1"), upstream("older", "a:1")
-    leaving, avoided = upstream("leaving", "b:1", leaving=True), upstream("avoided", "c:1")
+    draining, avoided = upstream("draining", "b:1", draining=True), upstream("avoided", "c:1")
     tried, good = upstream("tried", "d:1"), upstream("good", "e:1")
     record_failure(avoided, 1.0)
-    pool = [own, older, leaving, avoided, tried]
+    pool = [own, older, draining, avoided, tried]
     assert not has_alternative(pool, own, {"own", "tried"}, 1.5)
     assert has_alternative([*pool, good], own, {"own", "tried"}, 1.5)
     assert has_alternative(pool, own, {"own", "tried"}, 2.5)
 
 
-def test_events_before_a_gap_in_the_same_part_are_passed_on() -> None:
-    """They counted as passed on and were dropped, so the caller lacked them for good."""
+def test_events_before_a_gap_in_the_same_chunk_are_forwarded() -> None:
+    """Guards against events that count as forwarded but are dropped."""
     order = EventOrder(last_id=4)
     events = EventBuffer().feed(b"id: 5\ndata: a\n\nid: 7\ndata: c\n\n")
     accepted, fault = take_events(order, events)
@@ -186,8 +186,8 @@
     assert fault == "event 7 after 5"
 
 
-def test_dead_upstream_gets_no_work_until_it_is_heard_again() -> None:
-    """Its registration stays for some seconds; trying it each second cost a refusal each time."""
+def test_lost_upstream_gets_no_requests_until_it_is_seen_again() -> None:
+    """Its registration outlives it; each request retries_sent to it meanwhile would be refused."""
     upstream = ForwardedUpstream(
         registration=Registration(instance="i-1", sequence=1), last_seen=9.5
     )
@@ -199,7 +199,7 @@
     assert is_usable(upstream, 11.3)
 
 
-def test_dead_upstream_that_serves_all_the_same_is_used_again() -> None:
+def test_lost_upstream_that_serves_a_request_is_used_again() -> None:
     upstream = ForwardedUpstream(
         registration=Registration(instance="i-1", sequence=1), last_seen=9.5
     )
--- a/tests/routing/test_rate_grants.py
+++ b/tests/routing/test_rate_grants.py
@@ -1,4 +1,4 @@
-"""What a box may send to upstreams that name how many requests a second they take."""
+"""Grants for requests to rate-limited upstreams."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from ledgeladder.routing.service_choice import choose_service
 
 
-def held(rate: float = 2.0) -> GrantedLimit:
+def granted_limit(rate: float = 2.0) -> GrantedLimit:
     return GrantedLimit(limit=RateLimit(rate=rate, advertised_at=0.0))
 
 
@@ -38,8 +38,8 @@
     return ForwardedUpstream(registration=registration, last_seen=0.0, limit=limit)
 
 
-def test_limited_upstream_gets_only_what_was_lent() -> None:
-    limit = held()
+def test_limited_upstream_gets_only_granted_requests() -> None:
+    limit = granted_limit()
     assert not has_grant(limit, 1.0)
     add_grants(limit, 2, 2.0)
     assert acquire_grants([limit], 1.0)
@@ -56,8 +56,8 @@
     assert has_grant(ended, 1.0 + RECOVERY_SECONDS)
 
 
-def test_path_over_two_limited_engines_takes_a_request_of_each_or_none() -> None:
-    first, second = held(), held()
+def test_path_over_two_limited_engines_uses_a_grant_of_each_or_none() -> None:
+    first, second = granted_limit(), granted_limit()
     add_grants(first, 1, 5.0)
     assert not acquire_grants([first, None, second], 1.0)
     assert has_grant(first, 1.0)
@@ -66,8 +66,8 @@
     assert not has_grant(first, 1.0)
 
 
-def test_box_asks_for_what_it_uses_and_one_more() -> None:
-    limit = held(50.0)
+def test_box_requests_grants_in_proportion_to_use() -> None:
+    limit = granted_limit(50.0)
     limit.demand = 100
     assert grants_to_request(limit) == 1
     limit.demand, limit.used = 100, 3
@@ -76,8 +76,8 @@
     assert grants_to_request(limit) == 0
 
 
-def test_service_with_a_limit_is_chosen_only_while_it_was_lent_a_request() -> None:
-    limited, free = upstream("l", held()), upstream("f")
+def test_limited_service_is_chosen_only_while_it_has_a_grant() -> None:
+    limited, free = upstream("l", granted_limit()), upstream("f")
     free.in_flight = 4
 
     def choose(pool: list[ForwardedUpstream]) -> str | None:
@@ -95,8 +95,8 @@
     assert has_alternative([limited, free], free, set(), 1.0)
 
 
-def test_time_until_work_is_wanted_again_is_that_of_rest_or_limit() -> None:
-    limited, free = upstream("l", held(0.5)), upstream("f")
+def test_remaining_wait_is_that_of_backoff_or_limit() -> None:
+    limited, free = upstream("l", granted_limit(0.5)), upstream("f")
     assert grant_wait(limited.limit, 1.0) == 2.0
     assert min_remaining_wait([limited, free], 1.0) is None
     assert min_remaining_wait([limited], 1.0) == 2.0
@@ -119,9 +119,9 @@
     )
 
 
-def test_limit_outlives_the_registration_of_its_run_and_not_the_run() -> None:
+def test_limit_outlives_the_registration_but_not_the_instance() -> None:
     table = ForwardingTable()
-    limit = table.limits.limits["s#1"] = held()
+    limit = table.limits.limits["s#1"] = granted_limit()
     first = put_registration(table, registration("1"), 0.0)
     assert first is not None
     assert first.limit is limit
@@ -136,5 +136,5 @@
 
 
 @pytest.mark.parametrize(("rate", "seconds"), [(0.0, 10.0), (0.5, 2.0), (5.0, 0.2)])
-def test_wait_that_nobody_told_follows_from_the_rate(rate: float, seconds: float) -> None:
-    assert grant_wait(held(rate), 1.0) == seconds
+def test_unknown_wait_follows_from_the_rate(rate: float, seconds: float) -> None:
+    assert grant_wait(granted_limit(rate), 1.0) == seconds
