--- a/src/ledgeladder/daemons/entry/crashes.py
+++ b/src/ledgeladder/daemons/entry/crashes.py
@@ -8,7 +8,7 @@
 
 from ...coordination import content_watch
 from ...coordination.crash_book import CRASH_LIMIT
-from ...links import nobody_listens
+from ...links import is_port_closed
 from ...links.messages import ContentServed, CrashReport, QuarantineUpdate, SuspectUpdate
 from ...model import Problem, ProblemError, ResultCode
 from ..clock import now
@@ -55,7 +55,7 @@
         address: `host:port` of the upstream.
     """
     source = context.settings.box.source_address
-    if not await nobody_listens(address, source, seconds=CHECK_TIMEOUT_SECONDS):
+    if not await is_port_closed(address, source, seconds=CHECK_TIMEOUT_SECONDS):
         return
     instance = f"{upstream}#{secrets.token_hex(4)}"
     crashes = content_watch.record_own_crash(context.quarantine, fingerprint, instance, now())
--- a/src/ledgeladder/daemons/gateway/probing.py
+++ b/src/ledgeladder/daemons/gateway/probing.py
@@ -8,7 +8,7 @@
 import anyio
 
 from ...http1 import ConnectError, connect
-from ...links import nobody_listens
+from ...links import is_port_closed
 from ...links.messages import LossReport
 from ...routing.forwarding_table import record_exit, record_loss
 from ...routing.pace import note_gap, probe_patience
@@ -98,7 +98,7 @@
     """
     address = upstream.registration.address
     seconds = probe_timeout(state, upstream.registration.pool)
-    if not await nobody_listens(address, state.settings.box.address, seconds=seconds):
+    if not await is_port_closed(address, state.settings.box.address, seconds=seconds):
         return False
     record_exit(upstream, anyio.current_time())
     _log_loss(upstream, f"{address}: connection refused")
--- a/src/ledgeladder/links/__init__.py
+++ b/src/ledgeladder/links/__init__.py
@@ -1,10 +1,10 @@
-"""Links between the system's own processes: msgpack frames over TCP."""
+"""Links between the processes of the system: msgpack frames over TCP."""
 
 from __future__ import annotations
 
 from .endpoint import keep_link, open_link, serve_links
 from .link import Link, LinkIdentity, post_to_all
-from .tcp import connect_tcp, listen_tcp, nobody_listens, split_address
+from .tcp import connect_tcp, is_port_closed, listen_tcp, split_address
 
 __all__ = [
     "Link",
@@ -12,7 +12,7 @@
     "connect_tcp",
     "keep_link",
     "listen_tcp",
-    "nobody_listens",
+    "is_port_closed",
     "open_link",
     "post_to_all",
     "serve_links",
--- a/src/ledgeladder/links/datagrams.py
+++ b/src/ledgeladder/links/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between boxes: msgpack with a keyed checksum, over UDP."""
+"""Authenticated UDP datagrams between boxes: msgpack with a keyed BLAKE2 hash."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from ..model import Problem, ProblemError, ResultCode
 
 TAG_BYTES: Final = 16
-DATAGRAM_LIMIT: Final = 8192
-"""Longest datagram that is read, in bytes."""
+DATAGRAM_LIMIT_BYTES: Final = 8192
+"""Longest accepted datagram."""
 
 _DECODER: Final = msgspec.msgpack.Decoder(MembershipMessage)
 
@@ -24,7 +24,7 @@
 
 
 def seal(secret: str, message: MembershipMessage) -> bytes:
-    """Encode a message and prove that the sender holds the shared secret.
+    """Encode and authenticate a message.
 
     Args:
         secret: Secret shared by all processes of the cluster.
@@ -38,7 +38,7 @@
 
 
 def unseal(secret: str, data: bytes) -> MembershipMessage:
-    """Check and decode a datagram.
+    """Verify and decode a datagram.
 
     Args:
         secret: Secret shared by all processes of the cluster.
@@ -48,10 +48,11 @@
         The message.
 
     Raises:
-        ProblemError: With code PEER_UNTRUSTED or FRAME_INVALID.
+        ProblemError: With code PEER_UNTRUSTED if the datagram is too long or its tag is wrong, or
+            FRAME_INVALID if it does not decode.
     """
     tag, payload = data[:TAG_BYTES], data[TAG_BYTES:]
-    if len(data) > DATAGRAM_LIMIT or not hmac.compare_digest(tag, _tag(secret, payload)):
+    if len(data) > DATAGRAM_LIMIT_BYTES or not hmac.compare_digest(tag, _tag(secret, payload)):
         raise ProblemError(Problem(code=ResultCode.PEER_UNTRUSTED, detail="bad datagram tag"))
     try:
         return _DECODER.decode(payload)
--- a/src/ledgeladder/links/endpoint.py
+++ b/src/ledgeladder/links/endpoint.py
@@ -1,4 +1,4 @@
-"""Opening and accepting links: addresses, listening, reconnecting."""
+"""Accepting links, and opening them with reconnects."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from anyio.abc import SocketAttribute
 
 from ..model import ProblemError
-from .link import accept, greet
+from .link import accept_handshake, initiate_handshake
 from .tcp import connect_tcp, listen_tcp
 
 if TYPE_CHECKING:
@@ -25,21 +25,21 @@
 
 logger = logging.getLogger(__name__)
 
-CONNECT_SECONDS: Final = 0.25
-"""How long the first try to connect may take. A box without power drops the packet that opens a
-connection, and the kernel sends it again after 1 s only: where all boxes start together, most links
-came up a second late. Doubled with each try, for links with long round trips."""
+CONNECT_TIMEOUT_SECONDS: Final = 0.25
+"""Timeout of the first attempt to connect; doubled with each failure, for long round trips. It is
+shorter than the kernel's SYN retransmission timeout of 1 s, which would delay links to boxes that
+are just starting."""
 
-CONNECT_LIMIT_SECONDS: Final = 2.0
-"""Longest time for one try: the packet and one repeat of it, on a link that loses some."""
+MAX_CONNECT_TIMEOUT_SECONDS: Final = 2.0
+"""Longest timeout of an attempt, which leaves time for one retransmission of a lost SYN."""
 
-RECONNECT_SECONDS: Final = 0.1
-"""Pause before the second try."""
+RECONNECT_DELAY_SECONDS: Final = 0.1
+"""Delay before the second attempt."""
 
-RECONNECT_LIMIT_SECONDS: Final = 2.0
-"""Longest pause between two tries; pauses double from one to the next."""
+MAX_RECONNECT_DELAY_SECONDS: Final = 2.0
+"""Longest delay between two attempts; the delay doubles with each failure."""
 
-LINK_ENDED: Final = (
+LINK_ERRORS: Final = (
     OSError,
     TimeoutError,
     ProblemError,
@@ -47,7 +47,7 @@
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
 )
-"""What may end a link without being a fault of this process."""
+"""Errors that end a link without a fault of this process."""
 
 
 async def serve_links(address: str, identity: LinkIdentity, handler: LinkHandler) -> None:
@@ -55,7 +55,7 @@
 
     Args:
         address: `host:port` to listen on.
-        identity: Who accepts.
+        identity: Identity of the accepting process.
         handler: Serves each link.
     """
     listener = await listen_tcp(address)
@@ -64,10 +64,12 @@
         remote = stream.extra(SocketAttribute.remote_address, None)
         try:
             async with stream:
-                link = await accept(stream, identity)
+                link = await accept_handshake(stream, identity)
                 await _run_link(link, handler)
-        except* LINK_ENDED as ended:
-            logger.info("link ended", extra={"remote": str(remote), "reason": reason(ended)})
+        except* LINK_ERRORS as errors:
+            logger.info(
+                "link ended", extra={"remote": str(remote), "reason": describe_error(errors)}
+            )
 
     async with listener:
         await listener.serve(serve_one)
@@ -76,13 +78,13 @@
 async def keep_link(
     address: str, identity: LinkIdentity, handler: LinkHandler, *, rng: random.Random
 ) -> None:
-    """Keep one outgoing link up until cancelled.
+    """Keep an outgoing link connected until cancelled.
 
     Args:
         address: `host:port` of the peer.
-        identity: Who connects.
-        handler: Serves the link each time it is up.
-        rng: Spreads reconnects, so that a restarted peer is not met by all at once.
+        identity: Identity of the connecting process.
+        handler: Serves the link after each connect.
+        rng: Source of jitter, so that peers do not reconnect to a restarted process at once.
     """
     failures = 0
 
@@ -93,24 +95,27 @@
 
     while True:
         try:
-            await open_link(address, identity, serve, seconds=connect_patience(failures))
-        except* LINK_ENDED as ended:
-            logger.debug("link lost", extra={"remote": address, "reason": reason(ended)})
-        pause = min(RECONNECT_SECONDS * 2**failures, RECONNECT_LIMIT_SECONDS)
+            await open_link(address, identity, serve, seconds=connect_timeout(failures))
+        except* LINK_ERRORS as errors:
+            logger.debug(
+                "connecting failed or link lost",
+                extra={"remote": address, "reason": describe_error(errors)},
+            )
+        delay = min(RECONNECT_DELAY_SECONDS * 2**failures, MAX_RECONNECT_DELAY_SECONDS)
         failures += 1
-        await anyio.sleep(pause * rng.uniform(0.5, 1.0))
+        await anyio.sleep(delay * rng.uniform(0.5, 1.0))
 
 
-def connect_patience(failures: int) -> float:
-    """Return how long a try to connect may take, in seconds.
+def connect_timeout(failures: int) -> float:
+    """Return the timeout of an attempt to connect, in seconds.
 
     Args:
-        failures: Tries in a row that have failed before it.
+        failures: Number of consecutive failed attempts before it.
 
-    >>> [connect_patience(failures) for failures in range(5)]
+    >>> [connect_timeout(failures) for failures in range(5)]
     [0.25, 0.5, 1.0, 2.0, 2.0]
     """
-    return min(CONNECT_SECONDS * 2**failures, CONNECT_LIMIT_SECONDS)
+    return min(CONNECT_TIMEOUT_SECONDS * 2**failures, MAX_CONNECT_TIMEOUT_SECONDS)
 
 
 async def open_link(
@@ -118,20 +123,20 @@
     identity: LinkIdentity,
     handler: LinkHandler,
     *,
-    seconds: float = CONNECT_LIMIT_SECONDS,
+    seconds: float = MAX_CONNECT_TIMEOUT_SECONDS,
 ) -> None:
     """Connect once and serve the link until it ends.
 
     Args:
         address: `host:port` of the peer.
-        identity: Who connects.
+        identity: Identity of the connecting process.
         handler: Serves the link.
-        seconds: How long the connection may take to come up.
+        seconds: Timeout for opening the connection.
     """
     with anyio.fail_after(seconds):
         stream = await connect_tcp(address, identity.source_address)
     async with stream:
-        link = await greet(stream, identity)
+        link = await initiate_handshake(stream, identity)
         await _run_link(link, handler)
 
 
@@ -150,12 +155,12 @@
         await link.run_writer()
     finally:
         link.closed = True
-    # The peer did not read; ending the stream wakes the handler.
+    # The peer did not read; closing the stream makes the handler's read fail.
     await link.stream.aclose()
 
 
-def reason(group: BaseExceptionGroup[BaseException]) -> str:
-    """Describe in a few words why a link ended."""
+def describe_error(group: BaseExceptionGroup[BaseException]) -> str:
+    """Describe the first error of a group, for the log."""
     error: BaseException = group
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
--- a/src/ledgeladder/links/frames.py
+++ b/src/ledgeladder/links/frames.py
@@ -1,7 +1,7 @@
-"""Framing of messages on a byte stream: a length, then one msgpack value, compressed if it is long.
+"""Framing of messages on a byte stream: a length prefix, then one msgpack value.
 
-News of upstreams is what fills links: a registration takes 95 bytes, of which most are the same for
-all of a pool. Compressed, news of 3,000 upstreams that register within seconds takes a third.
+Long messages are compressed. Most traffic consists of registrations, which are largely identical
+within a pool.
 """
 
 from __future__ import annotations
@@ -15,51 +15,52 @@
 from ..model import Problem, ProblemError, ResultCode
 from .messages import LinkMessage
 
-LENGTH: Final = struct.Struct(">I")
+LENGTH_PREFIX: Final = struct.Struct(">I")
 
-HANDSHAKE_LIMIT: Final = 4096
-"""Longest frame before the peer has proved itself, in bytes."""
+HANDSHAKE_FRAME_LIMIT_BYTES: Final = 4096
+"""Longest frame before the peer is authenticated."""
 
-FRAME_LIMIT: Final = 64 * 1024 * 1024
-"""Longest frame afterwards; a snapshot travels in one."""
+FRAME_LIMIT_BYTES: Final = 64 * 1024 * 1024
+"""Longest frame of an authenticated peer; a snapshot is sent in a single frame."""
 
-COMPRESS_FROM: Final = 512
-"""Shortest message that is compressed, in bytes: shorter ones are a few fields."""
+COMPRESSION_MIN_BYTES: Final = 512
+"""Shortest message that is compressed; shorter ones would hardly shrink."""
 
-COMPRESS_LEVEL: Final = 1
-"""Level of zlib: the fastest. The highest saves a tenth more, and takes several times as long."""
+COMPRESSION_LEVEL: Final = 1
+"""Compression level of zlib: the fastest."""
 
-COMPRESSED: Final = 1 << 31
-"""Bit of the length that says that the message is compressed. Lengths stay far below it."""
+COMPRESSED_FLAG: Final = 1 << 31
+"""Bit of the length prefix that marks a compressed message; valid lengths are below it."""
 
 _DECODER: Final = msgspec.msgpack.Decoder(LinkMessage)
 _ENCODER: Final = msgspec.msgpack.Encoder()
 
 
 def encode_frame(message: LinkMessage) -> bytes:
-    """Encode a message with its length.
+    """Encode a message with its length prefix.
 
-    A long one is compressed unless that saves nothing, as for documents, which are already.
+    A long message is compressed unless that saves nothing, as with documents, which are compressed
+    already.
     """
     payload = _ENCODER.encode(message)
-    if len(payload) >= COMPRESS_FROM:
-        compressed = zlib.compress(payload, COMPRESS_LEVEL)
+    if len(payload) >= COMPRESSION_MIN_BYTES:
+        compressed = zlib.compress(payload, COMPRESSION_LEVEL)
         if len(compressed) < len(payload):
-            return LENGTH.pack(len(compressed) | COMPRESSED) + compressed
-    return LENGTH.pack(len(payload)) + payload
+            return LENGTH_PREFIX.pack(len(compressed) | COMPRESSED_FLAG) + compressed
+    return LENGTH_PREFIX.pack(len(payload)) + payload
 
 
 class FrameBuffer(msgspec.Struct, kw_only=True):
-    """Bytes received and not yet decoded."""
+    """Decoder of frames from received bytes."""
 
-    limit: int = HANDSHAKE_LIMIT
-    """Longest frame that is accepted, in bytes."""
+    limit: int = HANDSHAKE_FRAME_LIMIT_BYTES
+    """Longest accepted frame in bytes, compressed or not."""
 
     pending: bytearray = msgspec.field(default_factory=bytearray)
-    """Bytes of frames that are not complete."""
+    """Bytes of the frame that is not complete yet."""
 
     def feed(self, data: bytes) -> list[LinkMessage]:
-        """Take in bytes and return the messages that became complete.
+        """Add received bytes and return the messages that they complete.
 
         Args:
             data: Bytes from the stream.
@@ -72,27 +73,27 @@
         """
         self.pending += data
         messages: list[LinkMessage] = []
-        while len(self.pending) >= LENGTH.size:
-            (field,) = LENGTH.unpack_from(self.pending)
-            length = field & ~COMPRESSED
+        while len(self.pending) >= LENGTH_PREFIX.size:
+            (prefix,) = LENGTH_PREFIX.unpack_from(self.pending)
+            length = prefix & ~COMPRESSED_FLAG
             if length > self.limit:
                 raise _invalid(f"frame of {length} bytes exceeds {self.limit}")
-            end = LENGTH.size + length
+            end = LENGTH_PREFIX.size + length
             if len(self.pending) < end:
                 break
-            payload = bytes(self.pending[LENGTH.size : end])
+            payload = bytes(self.pending[LENGTH_PREFIX.size : end])
             del self.pending[:end]
-            if field & COMPRESSED:
+            if prefix & COMPRESSED_FLAG:
                 payload = _decompress(payload, self.limit)
             messages.append(decode_payload(payload))
         return messages
 
 
 def _decompress(data: bytes, limit: int) -> bytes:
-    """Decompress a message; one that grows beyond a limit is refused before it takes more memory.
+    """Decompress a message, using no more memory than a limit.
 
     Raises:
-        ProblemError: With code FRAME_INVALID.
+        ProblemError: With code FRAME_INVALID if the message is longer than the limit or invalid.
     """
     decompressor = zlib.decompressobj()
     try:
@@ -108,7 +109,7 @@
     """Decode and validate one message.
 
     Args:
-        payload: One frame without its length.
+        payload: Decompressed frame without its length prefix.
 
     Returns:
         The message.
--- a/src/ledgeladder/links/tcp.py
+++ b/src/ledgeladder/links/tcp.py
@@ -1,9 +1,8 @@
-"""TCP connections and listeners by IP number, without name look-ups.
+"""TCP connections and listeners by IP address, without name resolution.
 
-Library calls that take host names hand each address to a pool of four threads, which a process then
-keeps, and wait for it with two further tasks. Every address of the system is an IP number. Opening
-a connection this way takes 0.25 to 0.35 ms of processor time in place of 0.62 to 0.65, both ends on
-one machine, and a daemon has the one thread of its loop.
+Library calls that accept host names resolve every address in a thread pool. All addresses of the
+system are IP addresses; skipping the resolver saves processor time and keeps daemons
+single-threaded.
 """
 
 from __future__ import annotations
@@ -17,15 +16,15 @@
 from anyio.abc import SocketListener, SocketStream
 
 BACKLOG: Final = 65536
-"""Connections that may wait to be accepted; the kernel cuts it to its own bound. A full queue drops
-the packet that opens a connection, and the peer repeats it only after a second."""
+"""Length of the accept queue; the kernel caps it. If the queue is full, SYN packets are dropped and
+retransmitted only after a second."""
 
-LOOKS: Final = 3
-"""Connections that `nobody_listens` tries: one may meet a process in the moment of its end."""
+MAX_CLOSE_CHECKS: Final = 3
+"""Number of connections that `is_port_closed` tries, since a process may just be exiting."""
 
-CLOSE_SECONDS: Final = 0.01
-"""How long a process that ends may take from its first closed socket to its last; the 18 ends seen
-at a load of 16 on 8 cores took less. A living upstream delays the next try by as much."""
+CLOSE_TIMEOUT_SECONDS: Final = 0.01
+"""How long an exiting process may take to close all of its sockets. A check of a live upstream
+takes as long."""
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -42,13 +41,13 @@
     """Listen for connections.
 
     Args:
-        address: `host:port` to listen on, by IP number.
+        address: `host:port` to listen on, by IP address.
 
     Returns:
         The listener.
 
     Raises:
-        OSError: If the address cannot be listened on.
+        OSError: If listening on the address fails.
     """
     raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -63,17 +62,17 @@
 
 
 async def connect_tcp(address: str, source: str | None = None) -> SocketStream:
-    """Open a connection; the caller bounds the time.
+    """Open a connection, without a timeout of its own.
 
     Args:
-        address: `host:port` of the peer, by IP number.
-        source: IP number that the connection comes from, or None for the system's choice.
+        address: `host:port` of the peer, by IP address.
+        source: Source IP address; None lets the system choose.
 
     Returns:
         The connection.
 
     Raises:
-        OSError: If it does not come up.
+        OSError: If the connection cannot be opened.
     """
     raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -96,20 +95,19 @@
         raise OSError(code, f"{os.strerror(code)}: {peer[0]}:{peer[1]}")
 
 
-async def nobody_listens(address: str, source: str | None, *, seconds: float) -> bool:
-    """Tell whether nobody listens at an address any more: the process that did has ended.
+async def is_port_closed(address: str, source: str | None, *, seconds: float) -> bool:
+    """Return True if connections to an address are refused, as after the exit of its process.
 
-    A process that ends closes its sockets one after the other. One that has closed a connection may
-    still accept another for a moment, so that a connection that is closed at once is tried again:
-    in a test with real processes 7 of 27 ends were missed without that, none of 18 with it. No
-    answer says nothing: that is what a cut looks like.
+    An exiting process closes its sockets one by one and may still accept a connection after closing
+    another. A connection that is closed at once is therefore tried again. A timeout counts as
+    False, since a network partition looks the same.
 
     Args:
-        address: `host:port`, by IP number.
-        source: IP number that connections come from, or None for the system's choice.
-        seconds: Longest time for a connection to come up.
+        address: `host:port`, by IP address.
+        source: Source IP address; None lets the system choose.
+        seconds: Timeout for opening each connection.
     """
-    for _ in range(LOOKS):
+    for _ in range(MAX_CLOSE_CHECKS):
         try:
             with anyio.fail_after(seconds):
                 stream = await connect_tcp(address, source)
@@ -124,8 +122,8 @@
 
 
 async def _is_closed_soon(stream: SocketStream) -> bool:
-    """Tell whether the other side closes a connection at once on which nothing was sent."""
-    with anyio.move_on_after(CLOSE_SECONDS):
+    """Return True if the peer closes an unused connection within `CLOSE_TIMEOUT_SECONDS`."""
+    with anyio.move_on_after(CLOSE_TIMEOUT_SECONDS):
         try:
             await stream.receive(1)
         except (anyio.EndOfStream, anyio.BrokenResourceError):
--- a/tests/daemons/gateway/test_rate_limits.py
+++ b/tests/daemons/gateway/test_rate_limits.py
@@ -15,7 +15,7 @@
 from ledgeladder.daemons.gateway.state import GatewayState, limit_keeper_of
 from ledgeladder.daemons.gateway.upstream_call import BackpressureError, open_answer
 from ledgeladder.daemons.limit_keeper import apply_limits, handle_grant_reply, run_rate_limiter
-from ledgeladder.links.frames import LENGTH, decode_payload
+from ledgeladder.links.frames import LENGTH_PREFIX, decode_payload
 from ledgeladder.links.messages import Grant, GrantReply, GrantRequest, RateLimitUpdate
 from ledgeladder.platform.exchange import read_answer_facts
 from ledgeladder.routing.forwarding_table import (
@@ -42,7 +42,7 @@
         (self.updates if isinstance(message, RateLimitUpdate) else self.requests).append(message)
 
     def post_frame(self, frame: bytes) -> None:
-        message = decode_payload(frame[LENGTH.size :])
+        message = decode_payload(frame[LENGTH_PREFIX.size :])
         assert isinstance(message, RateLimitUpdate)
         self.updates.append(message)
 
--- a/tests/daemons/registry/test_telling.py
+++ b/tests/daemons/registry/test_telling.py
@@ -15,7 +15,7 @@
 from ledgeladder.daemons.peers import LINK_INACTIVITY_SECONDS
 from ledgeladder.daemons.registry import telling
 from ledgeladder.daemons.registry.state import PendingUpdates
-from ledgeladder.links.frames import FRAME_LIMIT, FrameBuffer
+from ledgeladder.links.frames import FRAME_LIMIT_BYTES, FrameBuffer
 from ledgeladder.links.messages import (
     DocumentPush,
     IndexChangePush,
@@ -36,7 +36,7 @@
         self.posted: list[tuple[float, Any]] = []
 
     def post_frame(self, frame: bytes) -> None:
-        (message,) = FrameBuffer(limit=FRAME_LIMIT).feed(frame)
+        (message,) = FrameBuffer(limit=FRAME_LIMIT_BYTES).feed(frame)
         self.posted.append((self.clock[0], message))
 
     def times(self, kind: type) -> list[float]:
--- a/tests/daemons/test_content_judge.py
+++ b/tests/daemons/test_content_judge.py
@@ -18,7 +18,7 @@
 from ledgeladder.daemons.content_judge import QuarantineController
 from ledgeladder.daemons.registry.upstream_ends import has_exited
 from ledgeladder.links import post_to_all
-from ledgeladder.links.frames import FRAME_LIMIT, FrameBuffer
+from ledgeladder.links.frames import FRAME_LIMIT_BYTES, FrameBuffer
 from ledgeladder.links.messages import (
     ContentServed,
     CrashReport,
@@ -37,7 +37,7 @@
         self.posted: list[Any] = []
 
     def post_frame(self, frame: bytes) -> None:
-        self.posted += FrameBuffer(limit=FRAME_LIMIT).feed(frame)
+        self.posted += FrameBuffer(limit=FRAME_LIMIT_BYTES).feed(frame)
 
 
 def build_controller(entries: Recorder, peers: Recorder, alive: set[str]) -> QuarantineController:
--- a/tests/links/test_frames.py
+++ b/tests/links/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames: what is sent comes back, whatever the pieces; bad ones take no memory freely."""
+"""Frames: round trips through split reads, compression, and bounded memory for invalid frames."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 import pytest
 
 from ledgeladder.links.frames import (
-    COMPRESS_FROM,
-    COMPRESSED,
-    LENGTH,
+    COMPRESSED_FLAG,
+    COMPRESSION_MIN_BYTES,
+    LENGTH_PREFIX,
     FrameBuffer,
     encode_frame,
 )
@@ -19,12 +19,12 @@
 from ledgeladder.model.registration import Holding, Liveness, Registration
 
 UPSTREAMS = 60
-"""Registrations in one frame: those of 50 ms while 3,000 upstreams register."""
+"""Registrations in one frame while many upstreams register."""
 
 
-def news(count: int) -> RegistrationUpdate:
+def registration_update(count: int) -> RegistrationUpdate:
     rng = random.Random(count)
-    told = [
+    reported = [
         Liveness(
             registration=Registration(
                 instance=f"i-{rng.getrandbits(40):010x}",
@@ -40,22 +40,22 @@
         )
         for number in range(count)
     ]
-    return RegistrationUpdate(reported=tuple(told))
+    return RegistrationUpdate(reported=tuple(reported))
 
 
 def compressed(payload: bytes, *, extra: bytes = b"") -> bytes:
     data = zlib.compress(payload) + extra
-    return LENGTH.pack(len(data) | COMPRESSED) + data
+    return LENGTH_PREFIX.pack(len(data) | COMPRESSED_FLAG) + data
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_messages_come_back_in_order_whatever_the_pieces(seed: int) -> None:
+def test_messages_are_decoded_in_order_from_split_reads(seed: int) -> None:
     rng = random.Random(seed)
     sent: list[LinkMessage] = [
         rng.choice(
             [
                 VersionQuery(call=number),
-                news(rng.randrange(80)),
+                registration_update(rng.randrange(80)),
                 DocumentPush(version=1, body=rng.randbytes(900)),
             ]
         )
@@ -71,14 +71,14 @@
     assert received == sent
 
 
-def test_news_of_upstreams_that_register_together_is_a_third() -> None:
-    """The load: each of 300 boxes is told 3,000 registrations by each of three control boxes."""
-    one = len(encode_frame(news(1)))
-    assert one < COMPRESS_FROM
-    assert len(encode_frame(news(UPSTREAMS))) < UPSTREAMS * one / 2
+def test_registrations_in_one_frame_compress_to_less_than_half() -> None:
+    """Uncompressed registrations would dominate the traffic from control boxes."""
+    one = len(encode_frame(registration_update(1)))
+    assert one < COMPRESSION_MIN_BYTES
+    assert len(encode_frame(registration_update(UPSTREAMS))) < UPSTREAMS * one / 2
 
 
-def test_what_does_not_shrink_is_sent_as_it_is() -> None:
+def test_incompressible_message_is_sent_uncompressed() -> None:
     body = random.Random(1).randbytes(5000)
     frame = encode_frame(DocumentPush(version=1, body=body))
     assert body in frame
@@ -89,11 +89,11 @@
     [
         compressed(b"\x00" * 1_000_000),
         compressed(b"\xc0", extra=b"more"),
-        LENGTH.pack(5 | COMPRESSED) + b"wrong",
-        LENGTH.pack(4 | COMPRESSED) + zlib.compress(b"cut off here")[:4],
+        LENGTH_PREFIX.pack(5 | COMPRESSED_FLAG) + b"wrong",
+        LENGTH_PREFIX.pack(4 | COMPRESSED_FLAG) + zlib.compress(b"cut off here")[:4],
     ],
 )
-def test_bad_compressed_frames_are_refused_within_the_limit(frame: bytes) -> None:
-    """A frame of a kilobyte may hold a gigabyte: it is refused at the limit of the buffer."""
+def test_invalid_compressed_frames_are_rejected_within_the_limit(frame: bytes) -> None:
+    """A small frame may decompress to gigabytes; it is rejected at the limit of the buffer."""
     with pytest.raises(ProblemError, match="FRAME_INVALID"):
         FrameBuffer(limit=4096).feed(frame)
--- a/tests/links/test_tcp.py
+++ b/tests/links/test_tcp.py
@@ -1,4 +1,4 @@
-"""Connections and listeners by IP number."""
+"""TCP connections and listeners by IP address."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 import pytest
 from anyio.abc import SocketAttribute, SocketStream
 
-from ledgeladder.links import connect_tcp, listen_tcp, nobody_listens, tcp
-from ledgeladder.links.tcp import LOOKS
+from ledgeladder.links import connect_tcp, is_port_closed, listen_tcp, tcp
+from ledgeladder.links.tcp import MAX_CLOSE_CHECKS
 
 
 def run(test) -> None:  # type: ignore[no-untyped-def]
@@ -23,7 +23,7 @@
         await stream.send(await stream.receive())
 
 
-def test_connection_comes_from_the_source_address_and_carries_bytes() -> None:
+def test_connection_uses_the_source_address_and_carries_bytes() -> None:
     async def exchange() -> None:
         listener = await listen_tcp("127.0.0.1:0")
         port = listener.extra(SocketAttribute.local_port)
@@ -54,24 +54,24 @@
 
 
 def test_cancelled_connection_closes_its_socket() -> None:
-    async def given_up() -> None:
-        # A listener whose queue is full drops further connections in silence.
+    async def time_out() -> None:
+        # A listener whose accept queue is full silently drops further connections.
         with socket.socket() as full:
             full.bind(("127.0.0.1", 0))
             full.listen(0)
             address = f"127.0.0.1:{full.getsockname()[1]}"
-            held = [socket.socket() for _ in range(4)]
-            for each in held:
+            queued = [socket.socket() for _ in range(4)]
+            for each in queued:
                 each.setblocking(False)
                 each.connect_ex(full.getsockname())
             before = len(os.listdir("/proc/self/fd"))
             with pytest.raises(TimeoutError), anyio.fail_after(0.05):
                 await connect_tcp(address)
             assert len(os.listdir("/proc/self/fd")) == before
-            for each in held:
+            for each in queued:
                 each.close()
 
-    run(given_up)
+    run(time_out)
 
 
 def test_no_thread_is_started() -> None:
@@ -86,43 +86,45 @@
 
 
 @pytest.mark.parametrize(
-    ("closes", "expected"), [(0, False), (1, True), (LOOKS, False)], ids=["lives", "ends", "resets"]
+    ("closes", "expected"),
+    [(0, False), (1, True), (MAX_CLOSE_CHECKS, False)],
+    ids=["alive", "exiting", "overloaded"],
 )
-def test_process_in_the_moment_of_its_end_is_told_from_one_that_lives(
+def test_exiting_process_is_distinguished_from_a_live_one(
     monkeypatch: pytest.MonkeyPatch, closes: int, expected: bool
 ) -> None:
-    """It closes the connection of a request first, still accepts one that it closes at once, and
-    refuses the next. One that closes every connection at once, as when it has too many, lives."""
+    """An exiting process may accept one more connection and close it at once before it refuses the
+    next. A process that closes every connection at once, as when overloaded, is alive."""
 
     if closes:
-        # This process plays both sides, which may take longer than a process that ends.
-        monkeypatch.setattr(tcp, "CLOSE_SECONDS", 10.0)
+        # Both sides run in this process, which may be slower than an exiting process.
+        monkeypatch.setattr(tcp, "CLOSE_TIMEOUT_SECONDS", 10.0)
 
     answered = threading.Event()
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve() -> None:
         kept = []
-        for number in range(LOOKS):
+        for number in range(MAX_CLOSE_CHECKS):
             connection, _ = listener.accept()
             if number >= closes:
                 kept.append(connection)
                 break
-            if closes < LOOKS:
+            if closes < MAX_CLOSE_CHECKS:
                 listener.close()
             connection.close()
-            if closes < LOOKS:
+            if closes < MAX_CLOSE_CHECKS:
                 break
         answered.wait()
 
-    async def play() -> bool:
+    async def check() -> bool:
         port = listener.getsockname()[1]
-        return await nobody_listens(f"127.0.0.1:{port}", "127.0.0.1", seconds=1.0)
+        return await is_port_closed(f"127.0.0.1:{port}", "127.0.0.1", seconds=1.0)
 
     server = threading.Thread(target=serve, daemon=True)
     server.start()
     try:
-        assert anyio.run(play) is expected
+        assert anyio.run(check) is expected
     finally:
         answered.set()
         server.join()
