--- a/src/ledgeladder/coordination/registrations.py
+++ b/src/ledgeladder/coordination/registrations.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..model.registration import Liveness, Registration, UpstreamState, run_began
+from ..model.registration import Liveness, Registration, UpstreamState, estimate_start
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -41,7 +41,7 @@
     instance: str
     """Name of the instance."""
 
-    born_ms: int
+    started_ms: int
     """When it started, in milliseconds since 1970."""
 
 
@@ -77,7 +77,7 @@
     instance = registration.instance
     if instance in table.gone:
         return False
-    if registration.state is UpstreamState.GONE:
+    if registration.state is UpstreamState.EXITED:
         table.known.pop(instance, None)
         _record_gone(table, instance)
         return True
@@ -86,7 +86,7 @@
         return False
     if current is not None and not _has_same_address(current.registration, registration):
         return False
-    started_at = run_began(registration, last_seen_at, table.heartbeat)
+    started_at = estimate_start(registration, last_seen_at, table.heartbeat)
     if current is None:
         _record_newest(table, registration)
         table.known[instance] = KnownUpstream(
@@ -111,7 +111,7 @@
     newest = table.newest.get(registration.upstream_id)
     if newest is None or newest.instance == registration.instance:
         return False
-    return newest.born_ms > registration.born_ms
+    return newest.started_ms > registration.started_ms
 
 
 def resolve_instance(table: RegistrationTable, registration: Registration) -> Registration:
@@ -122,13 +122,13 @@
     """
     newest = table.newest.get(registration.upstream_id)
     is_named = registration.instance != registration.upstream_id
-    if registration.state is not UpstreamState.GONE or newest is None or is_named:
+    if registration.state is not UpstreamState.EXITED or newest is None or is_named:
         return registration
     return msgspec.structs.replace(registration, instance=newest.instance)
 
 
 def _record_newest(table: RegistrationTable, registration: Registration) -> None:
-    newest = NewestInstance(instance=registration.instance, born_ms=registration.born_ms)
+    newest = NewestInstance(instance=registration.instance, started_ms=registration.started_ms)
     table.newest.pop(registration.upstream_id, None)
     table.newest[registration.upstream_id] = newest
     while len(table.newest) > MAX_GONE:
@@ -152,8 +152,8 @@
 
 def _keep_draining(current: Registration, new: Registration) -> Registration:
     """Keep an upstream that announced that it is draining from becoming ready again."""
-    if current.state is UpstreamState.LEAVING and new.state is UpstreamState.READY:
-        return msgspec.structs.replace(new, state=UpstreamState.LEAVING)
+    if current.state is UpstreamState.DRAINING and new.state is UpstreamState.READY:
+        return msgspec.structs.replace(new, state=UpstreamState.DRAINING)
     return new
 
 
@@ -168,7 +168,9 @@
         instance: Name of the instance, or only the id of the upstream.
         upstream: Id that it keeps over restarts, if it does.
     """
-    return Registration(instance=instance, sequence=0, state=UpstreamState.GONE, upstream=upstream)
+    return Registration(
+        instance=instance, sequence=0, state=UpstreamState.EXITED, upstream=upstream
+    )
 
 
 def list_liveness(table: RegistrationTable, now: float) -> tuple[Liveness, ...]:
--- a/src/ledgeladder/daemons/entry/attempt.py
+++ b/src/ledgeladder/daemons/entry/attempt.py
@@ -33,7 +33,7 @@
     from anyio.abc import TaskGroup
 
     from ...model import Pipeline
-    from ...model.exchange import NamedRate
+    from ...model.exchange import AdvertisedRate
     from ...routing.upstream_table import UpstreamView
     from .context import EntryContext
 
@@ -192,7 +192,7 @@
     )
     head, sent_at = session.route.head.upstream, now()
 
-    def record_rate(advertised: NamedRate | None) -> None:
+    def record_rate(advertised: AdvertisedRate | None) -> None:
         record_advertised_rate(limit_keeper_of(context), head, advertised, sent_at, is_own=True)
 
     try:
--- a/src/ledgeladder/daemons/gateway/backpressure.py
+++ b/src/ledgeladder/daemons/gateway/backpressure.py
@@ -46,9 +46,9 @@
     instance = upstream.registration.instance
     is_own = facts.signed or facts.not_run
     record_advertised_rate(
-        limit_keeper_of(state), instance, facts.named_rate, sent_at, is_own=is_own
+        limit_keeper_of(state), instance, facts.advertised_rate, sent_at, is_own=is_own
     )
-    if facts.leaving and record_draining(
+    if facts.draining and record_draining(
         state.table.backpressure, upstream.registration, upstream.backpressure
     ):
         state.metrics.counters["upstream-said-leaving"] += 1
@@ -60,14 +60,14 @@
                 "registered": upstream.registration.state.value,
             },
         )
-    if facts.rest_seconds is None:
+    if facts.backoff_seconds is None:
         return
     affected = [upstream]
-    if facts.culprit:
+    if facts.failed_upstream:
         pool = state.table.pools.get(permit.pool.name, [])
-        affected += [item for item in pool if item.registration.address == facts.culprit]
+        affected += [item for item in pool if item.registration.address == facts.failed_upstream]
     for item in affected:
-        record_backoff(state, item, facts.rest_seconds, request=permit.facts.attempt_id)
+        record_backoff(state, item, facts.backoff_seconds, request=permit.facts.attempt_id)
 
 
 def record_backoff(
--- a/src/ledgeladder/daemons/gateway/checks.py
+++ b/src/ledgeladder/daemons/gateway/checks.py
@@ -111,8 +111,8 @@
             raise refusal(code, f"document {configuration.version}")
     pool = configuration.pools[choose_pool(route, state.rng)]
     seconds = route.timeout
-    if facts.patience is not None:
-        seconds = min(seconds, facts.patience - ANSWER_MARGIN_SECONDS)
+    if facts.timeout is not None:
+        seconds = min(seconds, facts.timeout - ANSWER_MARGIN_SECONDS)
     return Permit(
         facts=facts,
         route=route,
--- a/src/ledgeladder/daemons/gateway/control_link.py
+++ b/src/ledgeladder/daemons/gateway/control_link.py
@@ -232,13 +232,13 @@
         if instance in state.exited_instances:
             continue
         other = other_instance(state.table, registration)
-        if other is not None and registration.state is not UpstreamState.GONE:
-            if other.registration.born_ms >= registration.born_ms:
+        if other is not None and registration.state is not UpstreamState.EXITED:
+            if other.registration.started_ms >= registration.started_ms:
                 # A delayed registration of an earlier instance.
                 continue
             _retire_instance(state, other, now)
         known = state.table.upstreams.get(instance)
-        if registration.state is UpstreamState.GONE:
+        if registration.state is UpstreamState.EXITED:
             _record_exited(state, instance)
         elif known is not None and registration.sequence <= known.registration.sequence:
             continue
--- a/src/ledgeladder/daemons/gateway/plain.py
+++ b/src/ledgeladder/daemons/gateway/plain.py
@@ -228,7 +228,7 @@
     dispatch = Dispatch(
         instance=instance,
         account=permit.account,
-        patience=permit.deadline - now,
+        timeout=permit.deadline - now,
         priority=permit.priority,
     )
     attempts.sent += 1
--- a/src/ledgeladder/daemons/gateway/stream_attempt.py
+++ b/src/ledgeladder/daemons/gateway/stream_attempt.py
@@ -203,7 +203,7 @@
     dispatch = Dispatch(
         instance=path.head.registration.instance,
         account=permit.account,
-        patience=max(0.0, permit.deadline - anyio.current_time()),
+        timeout=max(0.0, permit.deadline - anyio.current_time()),
         priority=permit.priority,
         path=path.parts,
         resume_after=resume_after,
@@ -252,10 +252,10 @@
     except AnswerLostError as error:
         return AttemptResult.LOST, str(error)
     if answer.facts.not_run:
-        culprit = answer.facts.culprit
-        at_fault = [item for item in path.engines if item.registration.address == culprit] or [
-            path.head
-        ]
+        failed_upstream = answer.facts.failed_upstream
+        at_fault = [
+            item for item in path.engines if item.registration.address == failed_upstream
+        ] or [path.head]
         for engine in at_fault:
             await _evaluate_refusal(state, session, path, engine)
         return AttemptResult.REFUSED, f"status {status} at {at_fault[0].registration.instance}"
--- a/src/ledgeladder/daemons/gateway/stream_paths.py
+++ b/src/ledgeladder/daemons/gateway/stream_paths.py
@@ -29,7 +29,7 @@
 def expected_answer_tokens(permit: Permit, profile: EngineProfile) -> int:
     """Return the expected number of answer tokens; at least 1."""
     max_tokens = permit.facts.answer_tokens
-    typical = int(profile.usual_answer) or int(max_tokens * EXPECTED_ANSWER_SHARE)
+    typical = int(profile.mean_answer_tokens) or int(max_tokens * EXPECTED_ANSWER_SHARE)
     return max(1, min(max_tokens, typical) if max_tokens else typical)
 
 
--- a/src/ledgeladder/daemons/gateway/upstream_call.py
+++ b/src/ledgeladder/daemons/gateway/upstream_call.py
@@ -183,5 +183,5 @@
     except BaseException:
         await answer.connection.close()
         raise
-    await state.connections.give_back(answer.connection, answer.facts.keep_seconds)
+    await state.connections.give_back(answer.connection, answer.facts.keep_alive_seconds)
     return b"".join(parts)
--- a/src/ledgeladder/daemons/gateway/waiting.py
+++ b/src/ledgeladder/daemons/gateway/waiting.py
@@ -98,7 +98,7 @@
     admission = state.start_queue
     until = wait_until(
         arrived_at=request.arrived_at,
-        patience=facts.patience,
+        patience=facts.timeout,
         served_at=state.started_at + STARTUP_SECONDS,
     )
     if until <= now:
--- a/src/ledgeladder/daemons/limit_keeper.py
+++ b/src/ledgeladder/daemons/limit_keeper.py
@@ -42,7 +42,7 @@
     from ..coordination.rate_limit import ReportedLimit
     from ..links import Link
     from ..links.messages import LinkMessage
-    from ..model.exchange import NamedRate
+    from ..model.exchange import AdvertisedRate
 
 logger = logging.getLogger(__name__)
 
@@ -81,7 +81,7 @@
 def record_advertised_rate(
     limiter: RateLimiter,
     upstream: str,
-    advertised: NamedRate | None,
+    advertised: AdvertisedRate | None,
     sent_at: float,
     *,
     is_own: bool,
--- a/src/ledgeladder/daemons/registry/placement.py
+++ b/src/ledgeladder/daemons/registry/placement.py
@@ -153,7 +153,7 @@
         name in names and not is_due(state.order_ledger, name, now)
         for name in state.order_ledger.sent
     )
-    return orders[: max(0, pool.engine.loads_at_once - open_loads)]
+    return orders[: max(0, pool.engine.parallel_loads - open_loads)]
 
 
 def _record_sent(
@@ -167,7 +167,7 @@
     assert profile is not None
     now = anyio.current_time()
     serving = any(item.holdings for item in engines)
-    loads = min(len(orders), profile.loads_at_once) if serving else len(orders)
+    loads = min(len(orders), profile.parallel_loads) if serving else len(orders)
     for engine, holding in orders:
         layers = _layers_to_load(engine, holding)
         seconds = load_seconds(profile, layers, loads)
@@ -185,7 +185,7 @@
     superseded = superseded_instances(state.table)
     return [
         (
-            msgspec.structs.replace(item.registration, state=UpstreamState.LEAVING)
+            msgspec.structs.replace(item.registration, state=UpstreamState.DRAINING)
             if instance in superseded
             else item.registration
         )
@@ -252,7 +252,7 @@
         return {}
     placed = _to_placed_engines(state, [item for item in ready if item.instance not in deferred])
     draining = _to_placed_engines(
-        state, [item for item in engines if item.state is UpstreamState.LEAVING]
+        state, [item for item in engines if item.state is UpstreamState.DRAINING]
     )
     chosen: dict[str, Holding] = {}
     cache: PlanCache = {}
@@ -293,7 +293,7 @@
     if not any(item.holdings for item in engines):
         return set()
     draining = {
-        (item.card, item.failure_domain) for item in engines if item.state is UpstreamState.LEAVING
+        (item.card, item.failure_domain) for item in engines if item.state is UpstreamState.DRAINING
     }
     now = anyio.current_time()
     return {
--- a/src/ledgeladder/http1/wishes.py
+++ b/src/ledgeladder/http1/wishes.py
@@ -9,7 +9,7 @@
 import math
 from typing import TYPE_CHECKING, Final
 
-from ..model.exchange import NamedRate
+from ..model.exchange import AdvertisedRate
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -107,7 +107,7 @@
         return math.nan
 
 
-def read_rate(name: bytes, headers: Iterable[tuple[bytes, bytes]]) -> NamedRate | None:
+def read_rate(name: bytes, headers: Iterable[tuple[bytes, bytes]]) -> AdvertisedRate | None:
     """Read the rate that an answer names.
 
     Of several fields the lowest figure counts: more than that is not taken for certain.
@@ -120,9 +120,9 @@
         The rate, or None if there is no such field.
 
     >>> read_rate(b"limit", [(b"limit", b"2.5"), (b"limit", b"4")])
-    NamedRate(rate=2.5)
+    AdvertisedRate(rate=2.5)
     >>> read_rate(b"limit", [(b"limit", b"-1")])
-    NamedRate(rate=None)
+    AdvertisedRate(rate=None)
     >>> read_rate(b"limit", []) is None
     True
     """
@@ -130,7 +130,7 @@
     if not values:
         return None
     rates = [rate for rate in map(_number, values) if rate is not None]
-    return NamedRate(rate=min(rates, default=None))
+    return AdvertisedRate(rate=min(rates, default=None))
 
 
 def _number(value: bytes) -> float | None:
--- a/src/ledgeladder/model/exchange.py
+++ b/src/ledgeladder/model/exchange.py
@@ -17,7 +17,7 @@
     path: str
     """Path without the query."""
 
-    patience: float | None
+    timeout: float | None
     """How long the caller waits, in seconds, or None if it does not say."""
 
     key: str | None
@@ -46,7 +46,7 @@
     """Requests that it works on at once."""
 
 
-class NamedRate(msgspec.Struct, frozen=True, kw_only=True):
+class AdvertisedRate(msgspec.Struct, frozen=True, kw_only=True):
     """How many requests a second an upstream says in an answer that it takes from all boxes."""
 
     rate: float | None
@@ -68,22 +68,22 @@
     wrong_upstream: bool
     """True if another run of an upstream has the address."""
 
-    culprit: str
+    failed_upstream: str
     """Address of the upstream at fault on a path of several; empty if not told."""
 
     load: UpstreamLoad | None
     """Load of the upstream, if told."""
 
-    keep_seconds: float | None
+    keep_alive_seconds: float | None
     """How long the upstream keeps an idle connection, if told; 0 if it closes it."""
 
-    rest_seconds: float | None = None
+    backoff_seconds: float | None = None
     """How long the upstream wants nothing more from this box, if it refused and said so."""
 
-    leaving: bool = False
+    draining: bool = False
     """True if the upstream says that it ends soon and must get no new work."""
 
-    named_rate: NamedRate | None = None
+    advertised_rate: AdvertisedRate | None = None
     """Requests a second that the upstream takes from all boxes together, if it names any."""
 
 
@@ -96,7 +96,7 @@
     account: str | None
     """Client account that the key belongs to."""
 
-    patience: float
+    timeout: float
     """How long the upstream may work, in seconds."""
 
     priority: int | None
--- a/src/ledgeladder/model/registration.py
+++ b/src/ledgeladder/model/registration.py
@@ -11,10 +11,10 @@
     """Whether an upstream takes new work."""
 
     READY = "ready"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
     """It ends soon and must get no new work."""
 
-    GONE = "gone"
+    EXITED = "gone"
     """It has ended, or is about to; this run of it never returns."""
 
 
@@ -61,7 +61,7 @@
     upstream: str = ""
     """Id that it keeps over restarts; empty where each run has another, and `instance` is all."""
 
-    born_ms: int = 0
+    started_ms: int = 0
     """When this run started, in milliseconds since 1970, by its own clock; 0 if it does not say. Of
     two runs with one id the later one is the one that lives."""
 
@@ -71,7 +71,7 @@
         return self.upstream or self.instance
 
 
-def run_began(registration: Registration, heard_at: float, heartbeat: float) -> float:
+def estimate_start(registration: Registration, heard_at: float, heartbeat: float) -> float:
     """Estimate when a run of an upstream began, to tell which of two runs at an address is newer.
 
     A heartbeat may arrive seconds late, after its run has crashed and the next one has registered;
--- a/src/ledgeladder/model/traffic.py
+++ b/src/ledgeladder/model/traffic.py
@@ -92,7 +92,7 @@
     step_factor: float
     """How many times longer a decoding step takes than the engine's figures say."""
 
-    read_factor: float
+    prefill_factor: float
     """How many times longer reading a prompt takes than the engine's figures say."""
 
 
@@ -114,31 +114,31 @@
     step_ms: float
     """Time of one decoding step through all layers, in milliseconds."""
 
-    sequence_ms: float
+    step_ms_per_request: float
     """Added to a step for each running request, in milliseconds."""
 
-    read_per_s: float
+    prefill_tokens_per_s: float
     """Prompt tokens that are read a second, through all layers."""
 
-    stride: int
+    steps_per_pass: int
     """Steps in one pass of an engine, which is also the number of tokens in one event."""
 
     load_seconds: float
     """Time to load all layers."""
 
-    loads_at_once: int
+    parallel_loads: int
     """Loads that run side by side at full speed."""
 
-    usual_prompt: float
+    mean_prompt_tokens: float
     """Mean length of a prompt, in tokens."""
 
-    usual_answer: float
+    mean_answer_tokens: float
     """Mean length of an answer, in tokens."""
 
     activation_bytes: float = 0.0
     """What an engine hands on for each token, in bytes."""
 
-    pipe_bytes_per_s: float = 0.0
+    domain_link_bytes_per_s: float = 0.0
     """Bytes a second that pass between two failure domains, shared by all requests; 0 if the
     document does not say."""
 
--- a/src/ledgeladder/platform/exchange.py
+++ b/src/ledgeladder/platform/exchange.py
@@ -70,13 +70,13 @@
     host = fields.get(b"host", b"").decode("latin-1").lower()
     path = request.target.decode("latin-1").partition("?")[0]
     tokens = fields.get(b"token-count", b"").partition(b",")
-    patience = _number(fields.get(b"deadline-ms"))
+    timeout = _number(fields.get(b"deadline-ms"))
     resume = _number(fields.get(b"last-event-id"))
     return CallerFacts(
         attempt_id=fields.get(b"attempt-id", b"").decode("latin-1"),
         host=host.partition(":")[0],
         path=path,
-        patience=None if patience is None else patience / MILLISECONDS,
+        timeout=None if timeout is None else timeout / MILLISECONDS,
         key=_key(fields.get(b"authorization")),
         resume_after=None if resume is None else int(resume),
         prompt_tokens=int(_number(tokens[0]) or 0),
@@ -123,7 +123,7 @@
     if dispatch.resume_after is not None:
         dropped |= {b"last-event-id"}
     headers = [item for item in request.headers if item[0].lower() not in dropped]
-    headers.append((b"Deadline-Ms", str(max(1, int(dispatch.patience * MILLISECONDS))).encode()))
+    headers.append((b"Deadline-Ms", str(max(1, int(dispatch.timeout * MILLISECONDS))).encode()))
     headers.append((b"Expect-Replica", upstream_of(dispatch.instance).encode()))
     if dispatch.account is not None:
         headers.append((b"Tenant-Name", dispatch.account.encode()))
@@ -163,12 +163,12 @@
         signed=b"replica-seal" in fields,
         not_run=b"not-executed" in fields or status == MISDIRECTED,
         wrong_upstream=status == MISDIRECTED and b"at-server" not in fields,
-        culprit=fields.get(b"at-server", b"").decode("latin-1"),
+        failed_upstream=fields.get(b"at-server", b"").decode("latin-1"),
         load=_load(fields.get(b"replica-load")),
-        keep_seconds=_keep_seconds(fields),
-        rest_seconds=read_rest(status, told),
-        leaving=fields.get(b"server-leaving", b"0").strip() not in (b"", b"0"),
-        named_rate=read_rate(b"server-limit", told),
+        keep_alive_seconds=_keep_alive_seconds(fields),
+        backoff_seconds=read_rest(status, told),
+        draining=fields.get(b"server-leaving", b"0").strip() not in (b"", b"0"),
+        advertised_rate=read_rate(b"server-limit", told),
     )
 
 
@@ -180,7 +180,7 @@
     return UpstreamLoad(running=running, waiting=waiting, slots=slots)
 
 
-def _keep_seconds(fields: dict[bytes, bytes]) -> float | None:
+def _keep_alive_seconds(fields: dict[bytes, bytes]) -> float | None:
     """Read how long an idle connection is kept, in seconds: 0 if it ends, None if not said."""
     if b"close" in fields.get(b"connection", b"").lower():
         return 0.0
--- a/src/ledgeladder/platform/registrations.py
+++ b/src/ledgeladder/platform/registrations.py
@@ -22,7 +22,7 @@
 """Stands between an id and the start of a run in the name of the run. No id holds it: paths end
 before it."""
 
-_STATES: Final = {"ready": UpstreamState.READY, "draining": UpstreamState.LEAVING}
+_STATES: Final = {"ready": UpstreamState.READY, "draining": UpstreamState.DRAINING}
 
 
 class _Layers(msgspec.Struct):
@@ -60,13 +60,13 @@
 _FAREWELL_DECODER: Final = msgspec.json.Decoder(_Farewell)
 
 
-def run_name(upstream: str, born_ms: int) -> str:
+def run_name(upstream: str, started_ms: int) -> str:
     """Return the name of a run of an upstream.
 
     >>> run_name("i-1", 1700000000000), run_name("i-1", 0)
     ('i-1#1700000000000', 'i-1')
     """
-    return f"{upstream}{RUN_SEPARATOR}{born_ms}" if born_ms else upstream
+    return f"{upstream}{RUN_SEPARATOR}{started_ms}" if started_ms else upstream
 
 
 def upstream_of(instance: str) -> str:
@@ -89,11 +89,11 @@
     Returns:
         The end of that run, or of the newest one if none is named.
     """
-    born_ms = 0
+    started_ms = 0
     if body:
         with contextlib.suppress(msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            born_ms = _FAREWELL_DECODER.decode(body).born
-    return exit_registration(run_name(instance, born_ms), instance)
+            started_ms = _FAREWELL_DECODER.decode(body).born
+    return exit_registration(run_name(instance, started_ms), instance)
 
 
 def decode_heartbeat(instance: str, body: bytes) -> Result[Registration, Problem]:
@@ -122,7 +122,7 @@
         Registration(
             instance=run_name(instance, beat.born),
             upstream=instance,
-            born_ms=beat.born,
+            started_ms=beat.born,
             sequence=beat.sequence,
             pool=beat.service,
             address=beat.address,
--- a/src/ledgeladder/routing/forwarding_table.py
+++ b/src/ledgeladder/routing/forwarding_table.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..model.registration import Registration, UpstreamState, run_began
+from ..model.registration import Registration, UpstreamState, estimate_start
 from .backpressure import Backpressure, BackpressureTable, find_backpressure
 from .load_sharing import LOAD_BELIEVED_SECONDS
 from .rate_grants import GrantedLimit, GrantedLimitTable, grant_wait, has_grant
@@ -192,10 +192,10 @@
         The upstream, or None if it is gone.
     """
     upstream = table.upstreams.get(registration.instance)
-    if registration.state is UpstreamState.GONE:
+    if registration.state is UpstreamState.EXITED:
         drop_upstream(table, registration.instance)
         return None
-    started_at = run_began(registration, last_seen, table.heartbeat)
+    started_at = estimate_start(registration, last_seen, table.heartbeat)
     if upstream is None:
         # The first heartbeat is sent at the start, so the instance is one interval younger.
         backpressure = find_backpressure(
--- a/src/ledgeladder/routing/group_plan.py
+++ b/src/ledgeladder/routing/group_plan.py
@@ -243,6 +243,6 @@
 def _layer_seconds(profile: EngineProfile, card: str) -> float:
     """Return the time that a request of the usual size takes per layer, in seconds."""
     kind = profile.cards[card]
-    steps = profile.step_ms / 1000.0 * profile.usual_answer * kind.step_factor
-    read = profile.usual_prompt / max(1.0, profile.read_per_s) * kind.read_factor
+    steps = profile.step_ms / 1000.0 * profile.mean_answer_tokens * kind.step_factor
+    read = profile.mean_prompt_tokens / max(1.0, profile.prefill_tokens_per_s) * kind.prefill_factor
     return (steps + read) / profile.layers
--- a/src/ledgeladder/routing/layer_coverage.py
+++ b/src/ledgeladder/routing/layer_coverage.py
@@ -56,7 +56,7 @@
 
 def usual_tokens(profile: EngineProfile) -> float:
     """Return the total tokens of a request of the usual size."""
-    return max(1.0, profile.usual_prompt + profile.usual_answer)
+    return max(1.0, profile.mean_prompt_tokens + profile.mean_answer_tokens)
 
 
 def request_capacity(profile: EngineProfile, card: str, layers: int) -> float:
--- a/src/ledgeladder/routing/link_load.py
+++ b/src/ledgeladder/routing/link_load.py
@@ -64,9 +64,9 @@
 
 def transfer_seconds(profile: EngineProfile, tokens: float) -> float:
     """Return the transfer time of the activations of some tokens; 0 if the bandwidth is unknown."""
-    if profile.pipe_bytes_per_s <= 0:
+    if profile.domain_link_bytes_per_s <= 0:
         return 0.0
-    return tokens * profile.activation_bytes / profile.pipe_bytes_per_s
+    return tokens * profile.activation_bytes / profile.domain_link_bytes_per_s
 
 
 def record_transfer(
--- a/src/ledgeladder/routing/load_time.py
+++ b/src/ledgeladder/routing/load_time.py
@@ -17,8 +17,8 @@
     Args:
         profile: Performance figures of the engines.
         layers: Number of layers to load.
-        concurrent_loads: Loads that run at a time; beyond `loads_at_once` they slow each other
+        concurrent_loads: Loads that run at a time; beyond `parallel_loads` they slow each other
             down.
     """
-    slowdown = max(1.0, concurrent_loads / max(1, profile.loads_at_once))
+    slowdown = max(1.0, concurrent_loads / max(1, profile.parallel_loads))
     return profile.load_seconds * layers / profile.layers * slowdown
--- a/src/ledgeladder/routing/path_costs.py
+++ b/src/ledgeladder/routing/path_costs.py
@@ -196,8 +196,8 @@
         request: The request to find a path for.
         running: Requests on the engine, including this one.
     """
-    step = (profile.step_ms + profile.sequence_ms * running) * card.step_factor / 1000.0
-    read = request.prompt_tokens / profile.read_per_s * card.read_factor
+    step = (profile.step_ms + profile.step_ms_per_request * running) * card.step_factor / 1000.0
+    read = request.prompt_tokens / profile.prefill_tokens_per_s * card.prefill_factor
     return (step * request.answer_tokens + read) / profile.layers
 
 
--- a/src/ledgeladder/routing/placement.py
+++ b/src/ledgeladder/routing/placement.py
@@ -126,7 +126,7 @@
     Returns:
         0 if the bandwidth of the links is unknown, so that no plan depends on them.
     """
-    seconds = transfer_seconds(profile, profile.usual_prompt)
+    seconds = transfer_seconds(profile, profile.mean_prompt_tokens)
     links = domains * (domains - 1) / 2
     return (
         NEW_REQUEST_LIMIT * links / (EXPECTED_INTER_DOMAIN_HOPS * seconds) if seconds > 0 else 0.0
--- a/src/ledgeladder/routing/wait_queue.py
+++ b/src/ledgeladder/routing/wait_queue.py
@@ -157,5 +157,5 @@
         profile: Figures of the engines; their slowest kind of card counts.
         prompt_tokens: Tokens of the prompt.
     """
-    factor = max((card.read_factor for card in profile.cards.values()), default=1.0)
-    return prompt_tokens / profile.read_per_s * factor
+    factor = max((card.prefill_factor for card in profile.cards.values()), default=1.0)
+    return prompt_tokens / profile.prefill_tokens_per_s * factor
--- a/src/ledgeladder/upstreams/engine.py
+++ b/src/ledgeladder/upstreams/engine.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from ..coordination.orders import Assignment
     from ..model import Route
-    from ..model.exchange import NamedRate
+    from ..model.exchange import AdvertisedRate
 
 logger = logging.getLogger(__name__)
 
@@ -223,7 +223,7 @@
 async def run_on_engine(
     client: httpx.AsyncClient,
     request: RunRequest,
-    note_rate: Callable[[NamedRate | None], None] = lambda _named: None,
+    note_rate: Callable[[AdvertisedRate | None], None] = lambda _named: None,
 ) -> AsyncGenerator[list[EngineFrame], None]:
     """Run a request and yield the frames that each read brings.
 
--- a/src/ledgeladder/upstreams/fields.py
+++ b/src/ledgeladder/upstreams/fields.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     import httpx
 
-    from ..model.exchange import NamedRate
+    from ..model.exchange import AdvertisedRate
 
 RATE_HEADER: Final = b"ledgeladder-rate-limit"
 """Field in which an upstream names how many requests a second it takes from all boxes together."""
@@ -20,6 +20,6 @@
     return [(name.lower(), value) for name, value in response.headers.raw]
 
 
-def named_rate(response: httpx.Response) -> NamedRate | None:
+def named_rate(response: httpx.Response) -> AdvertisedRate | None:
     """Return the rate that an answer names; None if it names none."""
     return read_rate(RATE_HEADER, raw_fields(response))
--- a/src/ledgeladder/upstreams/service.py
+++ b/src/ledgeladder/upstreams/service.py
@@ -12,7 +12,7 @@
 from .fields import named_rate, raw_fields
 
 if TYPE_CHECKING:
-    from ..model.exchange import NamedRate
+    from ..model.exchange import AdvertisedRate
 
 ANSWER_LIMIT: Final = 16 * 1024 * 1024
 """Longest answer of a service, in bytes."""
@@ -52,7 +52,7 @@
     backoff_seconds: float | None = None
     """How long the service wants nothing more from this box, if it said so."""
 
-    named_rate: NamedRate | None = None
+    named_rate: AdvertisedRate | None = None
     """Requests a second that it takes from all boxes together, if it names any."""
 
 
@@ -65,7 +65,7 @@
         detail: str,
         *,
         backoff_seconds: float | None = None,
-        named_rate: NamedRate | None = None,
+        named_rate: AdvertisedRate | None = None,
     ) -> None:
         super().__init__(detail)
         self.execution = execution
--- a/tests/coordination/test_registrations.py
+++ b/tests/coordination/test_registrations.py
@@ -37,7 +37,7 @@
     messages = [
         registration_of(1),
         registration_of(2, first=10),
-        registration_of(3, UpstreamState.LEAVING),
+        registration_of(3, UpstreamState.DRAINING),
         registration_of(4),
     ]
     for seed in range(50):
@@ -51,7 +51,7 @@
         assert current.sequence == 4
         # A later heartbeat never reverts draining, unless the draining message itself was late.
         leaving_seen_first = shuffled.index(messages[2]) < shuffled.index(messages[3])
-        expected = UpstreamState.LEAVING if leaving_seen_first else UpstreamState.READY
+        expected = UpstreamState.DRAINING if leaving_seen_first else UpstreamState.READY
         assert current.state is expected
 
 
@@ -109,13 +109,13 @@
         assert superseded_instances(table) == {"old"}
 
 
-def instance_registration(born_ms: int, sequence: int = 1, **changes: object) -> Registration:
+def instance_registration(started_ms: int, sequence: int = 1, **changes: object) -> Registration:
     """Return a registration of an instance whose upstream keeps its id over restarts."""
     registration = registration_of(sequence)
     fields: dict[str, object] = {
-        "instance": f"i-1#{born_ms}",
+        "instance": f"i-1#{started_ms}",
         "upstream": "i-1",
-        "born_ms": born_ms,
+        "started_ms": started_ms,
     }
     return msgspec.structs.replace(registration, **(fields | changes))
 
--- a/tests/daemons/gateway/test_control_link.py
+++ b/tests/daemons/gateway/test_control_link.py
@@ -61,11 +61,11 @@
     assert upstream.reported_in_flight == reported[-1]
 
 
-def registered(born_ms: int, sequence: int = 1) -> Liveness:
+def registered(started_ms: int, sequence: int = 1) -> Liveness:
     registration = Registration(
-        instance=f"i-1#{born_ms}",
+        instance=f"i-1#{started_ms}",
         upstream="i-1",
-        born_ms=born_ms,
+        started_ms=started_ms,
         sequence=sequence,
         pool="p",
         address="127.0.0.1:1",
--- a/tests/daemons/gateway/test_waiting.py
+++ b/tests/daemons/gateway/test_waiting.py
@@ -62,12 +62,12 @@
 )
 
 
-def facts(*, patience: float = 20.0, resume_after: int | None = None) -> CallerFacts:
+def facts(*, timeout: float = 20.0, resume_after: int | None = None) -> CallerFacts:
     return CallerFacts(
         attempt_id="r",
         host="h",
         path="/x/",
-        patience=patience,
+        timeout=timeout,
         key=None,
         resume_after=resume_after,
     )
@@ -198,10 +198,10 @@
     anyio.run(run)
 
 
-@pytest.mark.parametrize("patience", [-1.0, 0.0])
-def test_caller_without_time_left_does_not_wait(patience: float) -> None:
+@pytest.mark.parametrize("timeout", [-1.0, 0.0])
+def test_caller_without_time_left_does_not_wait(timeout: float) -> None:
     async def run() -> float:
-        return await wait_for_start(starting_state(), request(), facts(patience=patience))
+        return await wait_for_start(starting_state(), request(), facts(timeout=timeout))
 
     assert anyio.run(run) == 0.0
 
@@ -229,21 +229,21 @@
     return service
 
 
-def permit(patience: float, *, pool: UpstreamPool = SERVICES, priority: int = 1) -> Permit:
+def permit(timeout: float, *, pool: UpstreamPool = SERVICES, priority: int = 1) -> Permit:
     return Permit(
-        facts=facts(patience=patience),
+        facts=facts(timeout=timeout),
         route=ROUTE,
         pool=pool,
         account=None,
         priority=priority,
-        deadline=anyio.current_time() + patience,
+        deadline=anyio.current_time() + timeout,
         version=1,
     )
 
 
 async def wait(state: GatewayState, request_permit: Permit, seconds: float) -> bool:
     """Wait for up to half of the request's timeout."""
-    until = anyio.current_time() + (request_permit.facts.patience or 0.0) / 2
+    until = anyio.current_time() + (request_permit.facts.timeout or 0.0) / 2
     return await wait_for_upstreams(
         state, request_permit, request(), RequestTrace(), seconds=seconds, until=until
     )
--- a/tests/daemons/registry/test_http_api.py
+++ b/tests/daemons/registry/test_http_api.py
@@ -24,7 +24,7 @@
         (("engines",), "engines", UpstreamState.READY, False, True),
         (("engines",), "of-another-writer", UpstreamState.READY, False, False),
         (("services",), "engines", UpstreamState.READY, True, True),
-        (("services",), "engines", UpstreamState.LEAVING, False, True),
+        (("services",), "engines", UpstreamState.DRAINING, False, True),
     ],
 )
 def test_registration_under_unknown_pool_is_rejected(
--- a/tests/daemons/registry/test_telling.py
+++ b/tests/daemons/registry/test_telling.py
@@ -182,7 +182,7 @@
     updates = PendingUpdates()
     updates.add(registration(1), 5.0, to_peers=True)
     updates.add(registration(2), 5.1, to_peers=False)
-    exited = Registration(instance=registration(1).instance, sequence=0, state=UpstreamState.GONE)
+    exited = Registration(instance=registration(1).instance, sequence=0, state=UpstreamState.EXITED)
     updates.add(exited, 5.2, to_peers=True)
     to_entries, to_peers = updates.pop_all(5.3)
     assert [item.registration for item in to_entries] == [exited, registration(2)]
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -117,11 +117,11 @@
     decoded = decode_heartbeat("i-1", json.dumps(BEAT | {"born": 1_700_000_000_000}).encode())
     registration = decoded.unwrap()
     assert registration.upstream == "i-1"
-    assert registration.born_ms == 1_700_000_000_000
+    assert registration.started_ms == 1_700_000_000_000
     assert registration.instance != "i-1"
     assert upstream_of(registration.instance) == "i-1"
     without = decode_heartbeat("i-1", json.dumps(BEAT).encode()).unwrap()
-    assert (without.instance, without.born_ms) == ("i-1", 0)
+    assert (without.instance, without.started_ms) == ("i-1", 0)
 
 
 @pytest.mark.parametrize(
@@ -131,7 +131,7 @@
 def test_farewell_names_a_run_where_it_says_which(body: bytes, instance: str) -> None:
     ended = decode_farewell("i-1", body)
     assert (ended.instance, ended.upstream) == (instance, "i-1")
-    assert ended.state is UpstreamState.GONE
+    assert ended.state is UpstreamState.EXITED
 
 
 OTHER_WRITERS = [
--- a/tests/platform/test_exchange.py
+++ b/tests/platform/test_exchange.py
@@ -42,7 +42,7 @@
     facts = read_caller_facts(request())
     assert facts.host == "captions.example"
     assert facts.path == "/a/b"
-    assert facts.patience == 1.5
+    assert facts.timeout == 1.5
     assert facts.key == "secret"
     assert facts.resume_after == 12
     assert (facts.prompt_tokens, facts.answer_tokens) == (1460, 80)
@@ -57,7 +57,7 @@
         b"authorization": b"Basic abc",
     }
     facts = read_caller_facts(sent)
-    assert facts.patience is None
+    assert facts.timeout is None
     assert facts.resume_after is None
     assert facts.prompt_tokens == 0
     assert facts.key is None
@@ -69,7 +69,7 @@
         PathPart(instance="i-2", address="10.0.0.2:1", first=20, end=80),
     )
     dispatch = Dispatch(
-        instance="i-1", account="designers", patience=1.2, priority=1, path=parts, resume_after=15
+        instance="i-1", account="designers", timeout=1.2, priority=1, path=parts, resume_after=15
     )
     headers = dispatch_headers(request(), dispatch, hide_key=True)
     by_name: dict[bytes, list[bytes]] = {}
@@ -88,7 +88,7 @@
 
 
 def test_public_request_carries_no_account() -> None:
-    dispatch = Dispatch(instance="i-1", account=None, patience=1.0, priority=None)
+    dispatch = Dispatch(instance="i-1", account=None, timeout=1.0, priority=None)
     names = {name.lower() for name, _ in dispatch_headers(request(), dispatch, hide_key=False)}
     assert b"tenant-name" not in names
     assert b"priority" not in names
@@ -107,15 +107,15 @@
     )
     assert facts.not_run
     assert not facts.signed
-    assert facts.culprit == "10.0.0.2:1"
+    assert facts.failed_upstream == "10.0.0.2:1"
     assert facts.load is not None
     assert facts.load.slots == 8
-    assert facts.keep_seconds == 5
+    assert facts.keep_alive_seconds == 5
     other = read_answer_facts(421, [(b"connection", b"Close"), (b"replica-load", b"x")])
     assert other.not_run
     assert other.wrong_upstream
     assert other.load is None
-    assert other.keep_seconds == 0
+    assert other.keep_alive_seconds == 0
 
 
 def test_only_fields_of_the_connection_are_dropped_on_the_way_back() -> None:
@@ -152,11 +152,11 @@
 )
 def test_rest_is_asked_for_only_by_a_refusal(status: int, seconds: float | None) -> None:
     facts = read_answer_facts(status, [(b"retry-after", b"3")])
-    assert facts.rest_seconds == seconds
+    assert facts.backoff_seconds == seconds
 
 
 @pytest.mark.parametrize(("value", "leaving"), [(b"1", True), (b"0", False), (b"", False)])
 def test_any_answer_may_say_that_its_upstream_leaves(value: bytes, leaving: bool) -> None:
     for status in (200, 404, 500, 503):
-        assert read_answer_facts(status, [(b"server-leaving", value)]).leaving is leaving
-    assert not read_answer_facts(200, []).leaving
+        assert read_answer_facts(status, [(b"server-leaving", value)]).draining is leaving
+    assert not read_answer_facts(200, []).draining
--- a/tests/routing/fleet_simulation.py
+++ b/tests/routing/fleet_simulation.py
@@ -54,13 +54,13 @@
 LARGE_PROFILE = msgspec.structs.replace(
     PROFILE,
     kv_token_bytes=1_508_000,
-    sequence_ms=0.01172,
-    read_per_s=128_000,
-    stride=6,
-    usual_answer=ANSWER,
-    loads_at_once=31,
+    step_ms_per_request=0.01172,
+    prefill_tokens_per_s=128_000,
+    steps_per_pass=6,
+    mean_answer_tokens=ANSWER,
+    parallel_loads=31,
     activation_bytes=75_400,
-    pipe_bytes_per_s=18e9 / 8,
+    domain_link_bytes_per_s=18e9 / 8,
 )
 
 
@@ -77,19 +77,19 @@
 SMALL_PROFILE = msgspec.structs.replace(
     PROFILE,
     cards={
-        "fast": CardKind(name="fast", memory_mb=36_000, step_factor=3.1, read_factor=3.2),
-        "middle": CardKind(name="middle", memory_mb=21_600, step_factor=16.0, read_factor=8.2),
-        "slow": CardKind(name="slow", memory_mb=14_400, step_factor=15.0, read_factor=15.0),
+        "fast": CardKind(name="fast", memory_mb=36_000, step_factor=3.1, prefill_factor=3.2),
+        "middle": CardKind(name="middle", memory_mb=21_600, step_factor=16.0, prefill_factor=8.2),
+        "slow": CardKind(name="slow", memory_mb=14_400, step_factor=15.0, prefill_factor=15.0),
     },
     kv_token_bytes=328_000,
-    sequence_ms=0.00212,
+    step_ms_per_request=0.00212,
     step_ms=0.85,
-    read_per_s=353_000,
-    stride=2,
-    usual_prompt=726,
-    usual_answer=138,
+    prefill_tokens_per_s=353_000,
+    steps_per_pass=2,
+    mean_prompt_tokens=726,
+    mean_answer_tokens=138,
     activation_bytes=16_400,
-    pipe_bytes_per_s=4.3e9 / 8,
+    domain_link_bytes_per_s=4.3e9 / 8,
 )
 """Short answers, which fill the slots before the KV cache."""
 
@@ -298,8 +298,8 @@
     def stream_seconds(self, engine: SimulatedEngine, layers: int) -> float:
         """Return how long a stream takes on one engine under its current load."""
         card = self.profile.cards[engine.registration.card]
-        step = (self.profile.step_ms + self.profile.sequence_ms * engine.running) / 1000.0
-        read = PROMPT / self.profile.read_per_s * card.read_factor
+        step = (self.profile.step_ms + self.profile.step_ms_per_request * engine.running) / 1000.0
+        read = PROMPT / self.profile.prefill_tokens_per_s * card.prefill_factor
         share = layers / self.profile.layers
         return share * (step * card.step_factor * ANSWER + read)
 
--- a/tests/routing/sample_site.py
+++ b/tests/routing/sample_site.py
@@ -11,9 +11,9 @@
 from ledgeladder.routing.placement import plan_placement
 
 CARDS = {
-    "fast": CardKind(name="fast", memory_mb=72_000, step_factor=2.4, read_factor=3.2),
-    "middle": CardKind(name="middle", memory_mb=43_200, step_factor=5.6, read_factor=2.7),
-    "slow": CardKind(name="slow", memory_mb=21_600, step_factor=16.0, read_factor=8.2),
+    "fast": CardKind(name="fast", memory_mb=72_000, step_factor=2.4, prefill_factor=3.2),
+    "middle": CardKind(name="middle", memory_mb=43_200, step_factor=5.6, prefill_factor=2.7),
+    "slow": CardKind(name="slow", memory_mb=21_600, step_factor=16.0, prefill_factor=8.2),
 }
 PROFILE = EngineProfile(
     model="m",
@@ -21,13 +21,13 @@
     layer_mb=1750.0,
     kv_token_bytes=1_836_000,
     step_ms=1.02,
-    sequence_ms=0.014,
-    read_per_s=105_000,
-    stride=3,
+    step_ms_per_request=0.014,
+    prefill_tokens_per_s=105_000,
+    steps_per_pass=3,
     load_seconds=14.0,
-    loads_at_once=5,
-    usual_prompt=774,
-    usual_answer=200,
+    parallel_loads=5,
+    mean_prompt_tokens=774,
+    mean_answer_tokens=200,
     cards=CARDS,
 )
 DOMAINS = {"a": (1, 3, 8), "b": (1, 6, 5), "c": (2, 2, 5)}
@@ -73,5 +73,5 @@
         count = holding.end - holding.first
         tokens = kv_capacity(PROFILE, item.card, count) / count
         for layer in range(holding.first, holding.end):
-            carried[layer] += tokens / (PROFILE.usual_prompt + PROFILE.usual_answer)
+            carried[layer] += tokens / (PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens)
     return carried
--- a/tests/routing/test_backpressure.py
+++ b/tests/routing/test_backpressure.py
@@ -43,7 +43,7 @@
         failure_domain="a",
         slots=6,
         upstream=name if start else "",
-        born_ms=start,
+        started_ms=start,
     )
 
 
--- a/tests/routing/test_forwarding.py
+++ b/tests/routing/test_forwarding.py
@@ -162,7 +162,7 @@
     """A request must not leave its only usable upstream and fail."""
 
     def upstream(name: str, address: str, *, draining: bool = False) -> ForwardedUpstream:
-        state = UpstreamState.LEAVING if draining else UpstreamState.READY
+        state = UpstreamState.DRAINING if draining else UpstreamState.READY
         registration = Registration(instance=name, sequence=1, address=address, state=state)
         return ForwardedUpstream(registration=registration, last_seen=0.0)
 
--- a/tests/routing/test_group_plan.py
+++ b/tests/routing/test_group_plan.py
@@ -29,18 +29,18 @@
 from .sample_site import PROFILE
 
 CARDS = {
-    "fast": CardKind(name="fast", memory_mb=36_000, step_factor=3.1, read_factor=3.2),
-    "middle": CardKind(name="middle", memory_mb=21_600, step_factor=16.0, read_factor=8.2),
-    "slow": CardKind(name="slow", memory_mb=14_400, step_factor=15.0, read_factor=15.0),
+    "fast": CardKind(name="fast", memory_mb=36_000, step_factor=3.1, prefill_factor=3.2),
+    "middle": CardKind(name="middle", memory_mb=21_600, step_factor=16.0, prefill_factor=8.2),
+    "slow": CardKind(name="slow", memory_mb=14_400, step_factor=15.0, prefill_factor=15.0),
 }
 SMALL = msgspec.structs.replace(
     PROFILE,
     cards=CARDS,
     kv_token_bytes=656_000,
-    read_per_s=353_000,
+    prefill_tokens_per_s=353_000,
     step_ms=0.85,
     activation_bytes=32_800,
-    pipe_bytes_per_s=537.5e6,
+    domain_link_bytes_per_s=537.5e6,
 )
 """The smallest card holds eight layers with capacity for six requests."""
 
@@ -105,7 +105,7 @@
 
 def test_groups_do_not_rely_on_links_of_unknown_bandwidth() -> None:
     site = make_engines("a", fast=4) + make_engines("b", fast=4) + make_engines("c", fast=4)
-    unknown = msgspec.structs.replace(SMALL, layer_mb=1785.0, pipe_bytes_per_s=0.0)
+    unknown = msgspec.structs.replace(SMALL, layer_mb=1785.0, domain_link_bytes_per_s=0.0)
     assert [len(group) for group in group_engines(unknown, site)] == [4, 4, 4]
 
 
@@ -151,7 +151,11 @@
     Capacity beyond the slots must not count, or plans hold too few copies.
     """
     small = msgspec.structs.replace(
-        SMALL, kv_token_bytes=328_000, sequence_ms=0.002, usual_prompt=726, usual_answer=138
+        SMALL,
+        kv_token_bytes=328_000,
+        step_ms_per_request=0.002,
+        mean_prompt_tokens=726,
+        mean_answer_tokens=138,
     )
     fleet = make_engines("a", fast=2, middle=13, slow=22)
     plans = {}
--- a/tests/routing/test_link_load.py
+++ b/tests/routing/test_link_load.py
@@ -22,7 +22,7 @@
 
 TRANSFER_SECONDS = 0.05
 NARROW_LINKS = msgspec.structs.replace(
-    PROFILE, layer_mb=250.0, activation_bytes=50_000, pipe_bytes_per_s=774 * 1e6
+    PROFILE, layer_mb=250.0, activation_bytes=50_000, domain_link_bytes_per_s=774 * 1e6
 )
 """Transferring a prompt of 774 tokens takes `TRANSFER_SECONDS` on a link."""
 
@@ -91,7 +91,7 @@
 
 
 def test_links_of_unknown_bandwidth_are_unlimited() -> None:
-    unknown = msgspec.structs.replace(NARROW_LINKS, pipe_bytes_per_s=0.0)
+    unknown = msgspec.structs.replace(NARROW_LINKS, domain_link_bytes_per_s=0.0)
     load = LinkLoad()
     for _ in range(1000):
         record_transfer(load, unknown, ["a", "b"], 774, 1.0)
--- a/tests/routing/test_paths.py
+++ b/tests/routing/test_paths.py
@@ -122,7 +122,7 @@
     assert path is not None
     first = path.head
     # Only the state changes, so that no other reason can exclude the engine.
-    left = msgspec.structs.replace(first.registration, sequence=2, state=UpstreamState.LEAVING)
+    left = msgspec.structs.replace(first.registration, sequence=2, state=UpstreamState.DRAINING)
     assert put_registration(table, left, 0.0) is first
     other = choose_path(PROFILE, known, make_request(), 0.0)
     assert other is not None
@@ -320,7 +320,7 @@
     pool = [make_engine("a", Holding(first=0, end=40)), middle, slow, last]
     small = msgspec.structs.replace(PROFILE, layer_mb=250.0)
     free = choose_path(small, pool, make_request("a"), 2.5)
-    narrow = msgspec.structs.replace(small, activation_bytes=91_800, pipe_bytes_per_s=1e8)
+    narrow = msgspec.structs.replace(small, activation_bytes=91_800, domain_link_bytes_per_s=1e8)
     kept = choose_path(narrow, pool, make_request("a"), 2.5)
     assert free is not None
     assert kept is not None
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -43,7 +43,7 @@
 
 def test_unknown_card_and_too_small_card_get_nothing() -> None:
     assert max_layers(PROFILE, "unknown") == 0
-    tiny = CardKind(name="tiny", memory_mb=1000, step_factor=1, read_factor=1)
+    tiny = CardKind(name="tiny", memory_mb=1000, step_factor=1, prefill_factor=1)
     profile = msgspec.structs.replace(PROFILE, cards={"tiny": tiny})
     engine = PlacedEngine(instance="x", failure_domain="a", card="tiny", holding=None)
     assert plan_placement(profile, [engine]) == {}
--- a/tests/routing/test_rate_grants.py
+++ b/tests/routing/test_rate_grants.py
@@ -115,7 +115,7 @@
 
 def registration(run: str, sequence: int = 1) -> Registration:
     return Registration(
-        instance=f"s#{run}", sequence=sequence, upstream="s", born_ms=int(run), address="s:80"
+        instance=f"s#{run}", sequence=sequence, upstream="s", started_ms=int(run), address="s:80"
     )
 
 
--- a/tests/routing/test_wait_queue.py
+++ b/tests/routing/test_wait_queue.py
@@ -105,7 +105,7 @@
 
 def test_release_adds_one_unread_prompt_of_a_box_at_a_time() -> None:
     """The slowest cards read 700 tokens in some tens of milliseconds, so 7 requests take 0.2 s."""
-    slowest = max(card.read_factor for card in PROFILE.cards.values())
+    slowest = max(card.prefill_factor for card in PROFILE.cards.values())
     seconds = reading_seconds(PROFILE, 700)
-    assert seconds == pytest.approx(700 / PROFILE.read_per_s * slowest)
+    assert seconds == pytest.approx(700 / PROFILE.prefill_tokens_per_s * slowest)
     assert reading_seconds(PROFILE, 0) == 0.0
