--- a/src/ledgeladder/model/__init__.py
+++ b/src/ledgeladder/model/__init__.py
@@ -1,4 +1,4 @@
-"""Data classes for the objects, routes, failures and codes that every other part uses."""
+"""Data model shared by all packages: configuration objects, routes, problems and result codes."""
 
 from __future__ import annotations
 
--- a/src/ledgeladder/model/codes.py
+++ b/src/ledgeladder/model/codes.py
@@ -1,4 +1,4 @@
-"""Numbered result codes, and what each says about whether the request was run."""
+"""Numeric result codes, and what each implies about the execution of the request."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class Execution(StrEnum):
-    """Whether the work of a request was done."""
+    """Whether a request was executed."""
 
     NOT_RUN = "not-run"
-    """No byte of the request reached an upstream, or the upstream refused before it started."""
+    """No byte of the request reached an upstream, or the upstream refused it before starting."""
 
     RAN = "ran"
-    """The work was done, in full or in part."""
+    """The request was executed, in full or in part."""
 
     UNKNOWN = "unknown"
-    """The request may or may not have been run, and nobody can tell from here."""
+    """The request may or may not have been executed."""
 
 
 EXECUTION_HEADER: Final = "Ledgeladder-Execution"
-"""Header with `not-run`, `ran` or `unknown`, towards callers and from services alike."""
+"""Header with `not-run`, `ran` or `unknown`, in answers to callers and answers of services."""
 
 
 class ResultCode(IntEnum):
-    """The number that names the outcome of a request, a change or a command."""
+    """Numeric outcome of a request, a change or a command."""
 
     OK = 0
     MALFORMED_REQUEST = 1001
@@ -82,13 +82,13 @@
 
 
 class CodeEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """What one result code means to whoever receives it."""
+    """HTTP status, execution and meaning of a result code."""
 
     status: int
-    """HTTP status that carries the code."""
+    """HTTP status of answers with the code."""
 
     execution: Execution
-    """What the code says about the work, unless the occasion says otherwise."""
+    """Execution that the code implies, unless the problem states another."""
 
     meaning: str
     """One sentence for the table in the documentation."""
@@ -227,4 +227,4 @@
         401, _NOT_RUN, "The peer does not hold the shared secret; the link was closed."
     ),
 }
-"""Every result code with its meaning. The documentation's table is checked against it."""
+"""Entry of every result code. The table in the documentation is checked against it."""
--- a/src/ledgeladder/model/configuration.py
+++ b/src/ledgeladder/model/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: all objects under one ascending version."""
+"""The configuration: all objects under one increasing version, and checks of their consistency."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     """An immutable set of objects with its version."""
 
     version: int = 0
-    """Ascends by one with each accepted change."""
+    """Increases by one with each accepted change."""
 
     upstreams: dict[str, Upstream] = msgspec.field(default_factory=dict)
     """Upstreams by name."""
@@ -40,7 +40,7 @@
 _Item = TypeVar("_Item", Upstream, Pipeline, Priority, ClientAccount, Policy)
 
 
-def _merged(current: dict[str, _Item], put: Iterable[_Item], removed: set[str]) -> dict[str, _Item]:
+def _merge(current: dict[str, _Item], put: Iterable[_Item], removed: set[str]) -> dict[str, _Item]:
     merged = {name: item for name, item in current.items() if name not in removed}
     merged.update({item.name: item for item in put})
     return merged
@@ -49,15 +49,15 @@
 def apply_objects(
     configuration: Configuration, put: ObjectSet, remove: Sequence[ObjectReference]
 ) -> Configuration:
-    """Make the next version out of the current one.
+    """Apply a change to a configuration.
 
     Args:
-        configuration: The configuration to start from; it is left as it is.
+        configuration: The current configuration; it is not modified.
         put: Objects to create or replace.
-        remove: Objects to remove; one that is missing is passed over.
+        remove: Objects to remove; missing ones are ignored.
 
     Returns:
-        The configuration with the next version number.
+        The changed configuration, with the next version number.
     """
     removed: dict[Kind, set[str]] = {kind: set() for kind in Kind}
     for reference in remove:
@@ -65,35 +65,35 @@
     return msgspec.structs.replace(
         configuration,
         version=configuration.version + 1,
-        upstreams=_merged(configuration.upstreams, put.upstreams, removed[Kind.UPSTREAM]),
-        pipelines=_merged(configuration.pipelines, put.pipelines, removed[Kind.PIPELINE]),
-        priorities=_merged(configuration.priorities, put.priorities, removed[Kind.PRIORITY]),
-        accounts=_merged(configuration.accounts, put.accounts, removed[Kind.ACCOUNT]),
-        policies=_merged(configuration.policies, put.policies, removed[Kind.POLICY]),
+        upstreams=_merge(configuration.upstreams, put.upstreams, removed[Kind.UPSTREAM]),
+        pipelines=_merge(configuration.pipelines, put.pipelines, removed[Kind.PIPELINE]),
+        priorities=_merge(configuration.priorities, put.priorities, removed[Kind.PRIORITY]),
+        accounts=_merge(configuration.accounts, put.accounts, removed[Kind.ACCOUNT]),
+        policies=_merge(configuration.policies, put.policies, removed[Kind.POLICY]),
     )
 
 
 def digest(configuration: Configuration) -> bytes:
-    """Hash a configuration so that two boxes can tell whether they hold the same one.
+    """Hash a configuration, for boxes to compare theirs.
 
     Args:
         configuration: The configuration to hash.
 
     Returns:
-        16 bytes that are equal for equal configurations.
+        A digest of 16 bytes, equal for equal configurations.
     """
     encoded = msgspec.msgpack.encode(configuration, order="sorted")
     return hashlib.blake2b(encoded, digest_size=16).digest()
 
 
 def find_problems(configuration: Configuration) -> list[str]:
-    """List what is inconsistent between the objects of a configuration.
+    """Return the inconsistencies between the objects of a configuration.
 
     Args:
         configuration: The configuration to check.
 
     Returns:
-        One sentence a problem; empty if it is consistent.
+        One sentence per problem; empty if the configuration is consistent.
     """
     problems: list[str] = []
     for upstream in configuration.upstreams.values():
--- a/src/ledgeladder/model/documents.py
+++ b/src/ledgeladder/model/documents.py
@@ -1,7 +1,7 @@
 """The objects that operators create: pipelines, upstreams, client accounts, priorities, policies.
 
-They are checked where they enter the system (see `validation`) and wherever they are decoded from
-the log or a link.
+They are validated when an operator submits them (see `validation`) and again when they are decoded
+from the log or a link.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 NAME_PATTERN: Final = r"^[a-z0-9][a-z0-9_.-]{0,62}$"
 ADDRESS_PATTERN: Final = r"^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$"
 POLICY_SOURCE_LIMIT: Final = 16 * 1024
-"""Longest policy program, in characters."""
+"""Maximum length of a policy program, in characters."""
 
 Name = Annotated[str, msgspec.Meta(pattern=NAME_PATTERN)]
 Address = Annotated[str, msgspec.Meta(pattern=ADDRESS_PATTERN)]
@@ -47,10 +47,10 @@
     """Engine or service."""
 
     address: Address
-    """`host:port`, by IP number."""
+    """`host:port` with an IP address."""
 
     failure_domain: Name
-    """Problem domain that the upstream stands in."""
+    """Failure domain that the upstream runs in."""
 
     model: str = ""
     """Model whose layers an engine holds; empty for a service."""
@@ -62,42 +62,42 @@
     """One past the last layer that an engine holds."""
 
     version: Annotated[str, msgspec.Meta(max_length=64)] = ""
-    """Version of the weights that the engine is ordered to load; empty if it is not ordered."""
+    """Version of the weights that the engine is ordered to load; empty if no order is sent."""
 
     layers_per_second: Annotated[float, msgspec.Meta(gt=0, le=1e9)] = 1.0
-    """Declared speed in layer steps a second over all requests; measurements correct it."""
+    """Declared speed in layer steps per second over all requests; measurements adjust it."""
 
     checks_fences: bool = True
-    """Whether the upstream refuses orders that carry an old fence."""
+    """Whether the upstream rejects orders with an outdated fence."""
 
 
 class Pipeline(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What callers name in a request: a model over engines, or a set of plain services."""
+    """A model run by engines, or a set of plain services, as callers name it in requests."""
 
     name: Name
     """Unique name; callers use it as the model name."""
 
     model: str = ""
-    """Model that the pipeline runs; empty if it leads to plain services."""
+    """Model that the pipeline runs; empty for a pipeline of services."""
 
     layers: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 0
     """Number of layers of the model."""
 
     services: tuple[Name, ...] = ()
-    """Upstreams of kind service that may answer, for a pipeline of services."""
+    """Upstreams of kind service that may answer; empty for a pipeline that runs a model."""
 
     policy: Name | None = None
-    """Policy that is asked about each request."""
+    """Policy that is evaluated for each request."""
 
     deadline_seconds: Annotated[float, msgspec.Meta(gt=0, le=3600)] = 60.0
-    """Longest time from acceptance to the last byte of the answer."""
+    """Maximum time from acceptance to the last byte of the answer."""
 
     max_tokens: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 1024
-    """Most tokens that one request may ask for."""
+    """Maximum number of tokens that one request may ask for."""
 
 
 class Priority(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A class of requests; lower ranks go first."""
+    """A priority class of requests; lower ranks are served first."""
 
     name: Name
     """Unique name."""
@@ -119,23 +119,23 @@
     """Pipelines that the account may use; empty for all."""
 
     priority: Name | None = None
-    """Priority of its requests unless a policy says otherwise."""
+    """Priority of its requests unless a policy sets another."""
 
     rate: Annotated[float, msgspec.Meta(gt=0, le=1e6)] = 1000.0
-    """Requests a second over all boxes."""
+    """Maximum number of requests per second over all boxes."""
 
     concurrency: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 1000
-    """Requests in progress over all boxes."""
+    """Maximum number of requests in progress over all boxes."""
 
 
 class Policy(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A short Starlark program that decides what may flow where."""
+    """A Starlark program that allows, denies or routes requests."""
 
     name: Name
     """Unique name."""
 
     source: Annotated[str, msgspec.Meta(max_length=POLICY_SOURCE_LIMIT)]
-    """Program text; it defines `decide(request)`."""
+    """Source text; it defines `decide(request)`."""
 
 
 class ObjectReference(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -149,7 +149,7 @@
 
 
 class ObjectSet(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Objects of every kind, as a change file lists them."""
+    """Objects of all kinds, as listed in a change file."""
 
     upstreams: tuple[Upstream, ...] = ()
     """Upstreams to create or replace."""
@@ -168,15 +168,15 @@
 
 
 class ChangeDocument(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A change as an operator submits it."""
+    """A configuration change submitted by an operator."""
 
     change_id: Annotated[
         str, msgspec.Meta(min_length=8, max_length=64, pattern=r"^[A-Za-z0-9._-]+$")
     ]
-    """Identifies the change; resending it under the same id is safe."""
+    """Unique id of the change; resubmitting it under the same id is safe."""
 
     base_version: Annotated[int, msgspec.Meta(ge=0)]
-    """Version that the change was made against."""
+    """Version that the change is based on."""
 
     put: ObjectSet = msgspec.field(default_factory=ObjectSet)
     """Objects to create or replace."""
--- a/src/ledgeladder/model/exchange.py
+++ b/src/ledgeladder/model/exchange.py
@@ -1,4 +1,4 @@
-"""What a caller's request and an upstream's answer say, whatever their names on the wire."""
+"""Facts read from requests and answers, and fields added to requests, free of wire names."""
 
 from __future__ import annotations
 
@@ -6,114 +6,115 @@
 
 
 class CallerFacts(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller's request says beside its method, path and body."""
+    """Facts from the head of a caller's request."""
 
     attempt_id: str
-    """Id of this attempt of the caller, for logs and for telling answers apart."""
+    """Id of this attempt of the caller, for logs and for matching answers to requests."""
 
     host: str
-    """Host that the caller asks for, in lower case and without a port."""
+    """Requested host, in lower case and without a port."""
 
     path: str
     """Path without the query."""
 
     timeout: float | None
-    """How long the caller waits, in seconds, or None if it does not say."""
+    """How long the caller waits, in seconds, or None if not given."""
 
     key: str | None
     """Key of a client account, or None."""
 
     resume_after: int | None
-    """Id of the last event that the caller has, if it resumes a stream."""
+    """Id of the last event that the caller received, if it resumes a stream."""
 
     prompt_tokens: int = 0
-    """Tokens of the prompt."""
+    """Number of tokens of the prompt."""
 
     answer_tokens: int = 0
-    """Most tokens of the answer."""
+    """Maximum number of tokens of the answer."""
 
 
 class UpstreamLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """What an upstream says of its load in an answer."""
+    """Load of an upstream, as reported in an answer."""
 
     running: int
-    """Requests that it works on."""
+    """Number of requests that it runs."""
 
     waiting: int
-    """Requests that wait for a slot."""
+    """Number of requests that wait for a slot."""
 
     slots: int
-    """Requests that it works on at once."""
+    """Maximum number of concurrent requests."""
 
 
 class AdvertisedRate(msgspec.Struct, frozen=True, kw_only=True):
-    """How many requests a second an upstream says in an answer that it takes from all boxes."""
+    """Rate limit over all boxes, as an upstream advertises it in an answer."""
 
     rate: float | None
-    """Requests a second; infinite if it names no bound, None if the figure cannot be read."""
+    """Requests per second; infinite if there is no limit, None if the value cannot be parsed."""
 
 
 class AnswerFacts(msgspec.Struct, frozen=True, kw_only=True):
-    """What the head of an upstream's answer says beside its status."""
+    """Facts from the head of an upstream's answer, besides its status."""
 
     attempt_id: str
-    """Attempt that it belongs to; empty if it does not say."""
+    """Id of the attempt that it answers; empty if not given."""
 
     signed: bool
-    """True if the upstream signed it as its own."""
+    """True if the upstream signed the answer, which intermediaries cannot do."""
 
     not_run: bool
-    """True if the upstream says that it has not run the request."""
+    """True if the upstream states that it has not run the request."""
 
     wrong_upstream: bool
-    """True if another run of an upstream has the address."""
+    """True if another instance now listens at the address."""
 
     failed_upstream: str
-    """Address of the upstream at fault on a path of several; empty if not told."""
+    """Address of the upstream that failed on a path of several; empty if not given."""
 
     load: UpstreamLoad | None
-    """Load of the upstream, if told."""
+    """Load of the upstream, if reported."""
 
     keep_alive_seconds: float | None
-    """How long the upstream keeps an idle connection, if told; 0 if it closes it."""
+    """How long the upstream keeps an idle connection, in seconds; 0 if it closes it, None if not
+    given."""
 
     backoff_seconds: float | None = None
-    """How long the upstream wants nothing more from this box, if it refused and said so."""
+    """Back-off that the upstream requests from this box with a refusal, in seconds."""
 
     draining: bool = False
-    """True if the upstream says that it ends soon and must get no new work."""
+    """True if the upstream is about to stop and must get no new requests."""
 
     advertised_rate: AdvertisedRate | None = None
-    """Requests a second that the upstream takes from all boxes together, if it names any."""
+    """Rate limit over all boxes, if the upstream advertises one."""
 
 
 class Dispatch(msgspec.Struct, frozen=True, kw_only=True):
-    """What the system adds to a request before it sends it to an upstream."""
+    """Fields that the system adds to a request that it forwards to an upstream."""
 
     instance: str
-    """Run of the upstream that must answer."""
+    """Instance of the upstream that must answer."""
 
     account: str | None
     """Client account that the key belongs to."""
 
     timeout: float
-    """How long the upstream may work, in seconds."""
+    """How long the upstream may run the request, in seconds."""
 
     priority: int | None
-    """Rank, 0 being the most urgent."""
+    """Priority rank, 0 being the most urgent."""
 
     path: tuple[PathPart, ...] = ()
-    """Engines that the request passes; empty for a plain service."""
+    """Engines that run the request, in order; empty for a plain service."""
 
     resume_after: int | None = None
-    """Id of the last event that the caller has."""
+    """Id of the last event that the caller received, if it resumes a stream."""
 
 
 class PathPart(msgspec.Struct, frozen=True, kw_only=True):
     """Layers that one engine runs for a request."""
 
     instance: str
-    """Run of the engine."""
+    """Instance of the engine."""
 
     address: str
     """`host:port` of the engine."""
--- a/src/ledgeladder/model/registration.py
+++ b/src/ledgeladder/model/registration.py
@@ -1,4 +1,4 @@
-"""What an upstream says of itself when it registers."""
+"""Registrations: the state that upstreams report with each heartbeat."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class UpstreamState(StrEnum):
-    """Whether an upstream takes new work."""
+    """Whether an upstream accepts new requests."""
 
     READY = "ready"
     DRAINING = "leaving"
-    """It ends soon and must get no new work."""
+    """It is about to stop and must get no new requests."""
 
     EXITED = "gone"
-    """It has ended, or is about to; this run of it never returns."""
+    """Its process has exited or is exiting; this instance never returns."""
 
 
 class Holding(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A range of layers that an upstream holds."""
+    """A range of layers that an upstream has loaded."""
 
     first: int
     """First layer."""
@@ -29,71 +29,71 @@
 
 
 class Registration(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """The newest that one run of an upstream said of itself."""
+    """The newest report of an upstream instance, which is one run of an upstream's process."""
 
     instance: str
-    """Name of this run of the upstream; a restart has another."""
+    """Name of the instance; a restart gets another one."""
 
     sequence: int
-    """Rises with every message of this run, so that a late one is recognised."""
+    """Increases with every message of the instance; a lower number marks a late message."""
 
     pool: str = ""
     """Pool that it belongs to."""
 
     address: str = ""
-    """`host:port` at which it takes requests."""
+    """`host:port` at which it accepts requests."""
 
     failure_domain: str = ""
-    """Where it runs."""
+    """Failure domain of its box."""
 
     slots: int = 1
-    """Requests that it works on at once."""
+    """Maximum number of concurrent requests."""
 
     state: UpstreamState = UpstreamState.READY
-    """Whether it takes new work."""
+    """Whether it accepts new requests."""
 
     card: str = ""
     """Kind of its accelerator; empty for a plain service."""
 
     holdings: tuple[Holding, ...] = ()
-    """Layers that it holds."""
+    """Layers that it has loaded."""
 
     upstream: str = ""
-    """Id that it keeps over restarts; empty where each run has another, and `instance` is all."""
+    """Id that it keeps over restarts; empty if `instance` is its only id."""
 
     started_ms: int = 0
-    """When this run started, in milliseconds since 1970, by its own clock; 0 if it does not say. Of
-    two runs with one id the later one is the one that lives."""
+    """Start of the instance by its own clock, in milliseconds since 1970; 0 if not given. Of two
+    instances with the same id, the one that started later is alive."""
 
     @property
     def upstream_id(self) -> str:
-        """Id that is the same for all of its runs."""
+        """Id that all instances of the upstream share."""
         return self.upstream or self.instance
 
 
-def estimate_start(registration: Registration, heard_at: float, heartbeat: float) -> float:
-    """Estimate when a run of an upstream began, to tell which of two runs at an address is newer.
+def estimate_start(registration: Registration, received_at: float, heartbeat: float) -> float:
+    """Estimate when an instance started, to decide which of two instances at an address is newer.
 
-    A heartbeat may arrive seconds late, after its run has crashed and the next one has registered;
-    its number still says how many came before it.
+    A heartbeat may arrive seconds late, after its instance has crashed and the next one has
+    registered; its sequence number still gives the number of heartbeats before it.
 
     Args:
-        registration: What the run said.
-        heard_at: When that arrived.
-        heartbeat: Time between two messages of a run, in seconds.
+        registration: Report of the instance.
+        received_at: When the report arrived, in seconds.
+        heartbeat: Time between two heartbeats, in seconds.
 
     Returns:
-        A time on the clock of `heard_at`; too late by as much as the message was. Of several
-        messages of one run the earliest estimate is the best one.
+        A time on the clock of `received_at`, late by the delay of the message. Of several
+        estimates for one instance, the earliest is the most exact.
     """
-    return heard_at - registration.sequence * heartbeat
+    return received_at - registration.sequence * heartbeat
 
 
 class Liveness(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A registration and how long ago its upstream was last heard."""
+    """A registration and the age of its last heartbeat."""
 
     registration: Registration
     """The registration."""
 
     age: float
-    """Seconds since the upstream was last heard by whoever tells this."""
+    """Seconds since the sender last received a heartbeat of the upstream."""
--- a/src/ledgeladder/model/route.py
+++ b/src/ledgeladder/model/route.py
@@ -1,4 +1,4 @@
-"""Routes: which upstream runs which layers, and the receipts that prove it."""
+"""Routes: which upstream runs which layers, and the check of their coverage."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Stage(msgspec.Struct, frozen=True, kw_only=True):
-    """One upstream of a route and the layers it is to run."""
+    """One upstream of a route and the layers that it runs."""
 
     upstream: str
     """Name of the upstream."""
@@ -30,18 +30,18 @@
     """`host:port` of the upstream."""
 
     span: LayerSpan
-    """The layers that this upstream runs, which may be fewer than it holds."""
+    """The layers that the upstream runs; a subset of those that it has loaded."""
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
     """A chain of stages that covers every layer of a model exactly once, in order."""
 
     stages: tuple[Stage, ...]
-    """The stages in the order in which a token passes through them."""
+    """The stages in the order in which tokens pass through them."""
 
     @property
     def head(self) -> Stage:
-        """The stage that the entry talks to."""
+        """The first stage, to which the entry sends requests."""
         return self.stages[0]
 
     @property
@@ -51,14 +51,14 @@
 
 
 def covers_once(spans: Sequence[LayerSpan], layers: int) -> bool:
-    """Tell whether spans run layers `0..layers-1` exactly once and in order.
+    """Return whether spans cover the layers `0..layers-1` exactly once and in order.
 
     Args:
         spans: The spans in the order in which they were run.
         layers: Number of layers of the model.
 
     Returns:
-        True if nothing is skipped, doubled or swapped.
+        True if no layer is missing, repeated or out of order.
 
     >>> covers_once([LayerSpan(first=0, end=4), LayerSpan(first=4, end=8)], 8)
     True
--- a/src/ledgeladder/model/traffic.py
+++ b/src/ledgeladder/model/traffic.py
@@ -1,6 +1,6 @@
 """Configuration of forwarded traffic: routes, pools of upstreams, engines and client accounts.
 
-An operator publishes it as one whole document with a version; the highest version is in force.
+An operator publishes it as one document with a version; the highest version is in force.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 
 
 class RequestKind(StrEnum):
-    """What may be done with a request whose outcome is not known."""
+    """Whether a request with an unknown outcome may be retried."""
 
     REPEATABLE = "repeatable"
-    """It may run more than once."""
+    """It is idempotent and may run more than once."""
 
     ONCE = "once"
-    """It runs at most once."""
+    """It must run at most once."""
 
     STREAM = "stream"
-    """It is answered by a series of events."""
+    """It is answered by a stream of events."""
 
 
 class PoolWeight(msgspec.Struct, frozen=True, kw_only=True):
@@ -34,47 +34,47 @@
 
 
 class RouteRule(msgspec.Struct, frozen=True, kw_only=True):
-    """Which requests go where, and under which limits."""
+    """Which requests a route matches, their pools and their limits."""
 
     name: str
     """Name of the route."""
 
     host: str
-    """Host that the caller asks for."""
+    """Requested host."""
 
     path_prefix: str
-    """Start of the path, with a slash at both ends."""
+    """Prefix of the path, with a slash at both ends."""
 
     kind: RequestKind
-    """What may be repeated."""
+    """Whether requests may be retried, and how they are answered."""
 
     resumable: bool
     """True if a broken stream may be continued on another upstream."""
 
     timeout: float
-    """Longest time that a request is held, in seconds."""
+    """Maximum time from acceptance of a request to the end of its answer, in seconds."""
 
     target_latency: float
-    """Time to the answer or to the first event that callers expect, in seconds."""
+    """Expected time to the answer or to the first event, in seconds."""
 
     gap_target: float
-    """Longest pause between events that callers expect, in seconds; 0 if none is set."""
+    """Maximum time between events that callers expect, in seconds; 0 if none is set."""
 
     priority: int
-    """Rank; 0 is the most urgent."""
+    """Priority rank; 0 is the most urgent."""
 
     pools: tuple[PoolWeight, ...]
-    """Where the requests go."""
+    """Pools that serve the requests, with their weights."""
 
     max_attempts: int
-    """Most upstreams that one request may run on."""
+    """Maximum number of upstreams that one request may be sent to."""
 
     public: bool
     """True if no key is needed."""
 
     @property
     def repeatable(self) -> bool:
-        """True if a second run of the same request does no harm."""
+        """True if the same request may safely run twice."""
         return self.kind is RequestKind.REPEATABLE or (
             self.kind is RequestKind.STREAM and self.resumable
         )
@@ -90,10 +90,10 @@
     """Memory for layers and KV cache, in megabytes."""
 
     step_factor: float
-    """How many times longer a decoding step takes than the engine's figures say."""
+    """Factor on the time of a decoding step given in the engine profile."""
 
     prefill_factor: float
-    """How many times longer reading a prompt takes than the engine's figures say."""
+    """Factor on the prefill time of a prompt given in the engine profile."""
 
 
 class EngineProfile(msgspec.Struct, frozen=True, kw_only=True):
@@ -106,28 +106,28 @@
     """Layers of the model."""
 
     layer_mb: float
-    """Memory of one layer, in megabytes."""
+    """Memory for the weights of one layer, in megabytes."""
 
     kv_token_bytes: float
-    """KV cache of one token over all layers, in bytes."""
+    """Size of one token in the KV cache over all layers, in bytes."""
 
     step_ms: float
     """Time of one decoding step through all layers, in milliseconds."""
 
     step_ms_per_request: float
-    """Added to a step for each running request, in milliseconds."""
+    """Time added to a step by each running request, in milliseconds."""
 
     prefill_tokens_per_s: float
-    """Prompt tokens that are read a second, through all layers."""
+    """Prefill throughput through all layers, in prompt tokens per second."""
 
     steps_per_pass: int
-    """Steps in one pass of an engine, which is also the number of tokens in one event."""
+    """Decoding steps in one pass of an engine; an event carries as many tokens."""
 
     load_seconds: float
-    """Time to load all layers."""
+    """Time to load all layers, in seconds."""
 
     parallel_loads: int
-    """Loads that run side by side at full speed."""
+    """Number of concurrent loads that run at full speed."""
 
     mean_prompt_tokens: float
     """Mean length of a prompt, in tokens."""
@@ -136,54 +136,54 @@
     """Mean length of an answer, in tokens."""
 
     activation_bytes: float = 0.0
-    """What an engine hands on for each token, in bytes."""
+    """Size of the activations that an engine forwards per token, in bytes."""
 
     domain_link_bytes_per_s: float = 0.0
-    """Bytes a second that pass between two failure domains, shared by all requests; 0 if the
-    document does not say."""
+    """Bandwidth between two failure domains, shared by all requests, in bytes per second; 0 if the
+    document does not give it."""
 
     slots: int = 0
-    """Requests that an engine runs at once; 0 if its KV cache alone bounds them. The document does
-    not say: engines tell when they register."""
+    """Maximum number of concurrent requests of an engine; 0 if only its KV cache limits them. It is
+    not part of the document: engines report it when they register."""
 
     cards: dict[str, CardKind] = msgspec.field(default_factory=dict)
     """Kinds of accelerators by name."""
 
     delays: dict[tuple[str, str], float] = msgspec.field(default_factory=dict)
-    """One-way delay between failure domains, in seconds; both directions are held."""
+    """One-way delay between failure domains, in seconds, with an entry for each direction."""
 
 
 class UpstreamPool(msgspec.Struct, frozen=True, kw_only=True):
-    """Upstreams that stand in for each other."""
+    """A pool of interchangeable upstreams."""
 
     name: str
     """Name of the pool."""
 
     max_connections: int
-    """Connections that one upstream accepts from all boxes together."""
+    """Maximum number of connections to one upstream, over all boxes."""
 
     engine: EngineProfile | None
-    """Figures of the engines, or None for a plain service."""
+    """Profile of the engines, or None for a plain service."""
 
 
 class CallerLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller may send, and how long it may take or rest."""
+    """Size limits and timeouts for callers."""
 
     header_bytes: int = 16384
-    """Longest request head, in bytes."""
+    """Maximum size of a request head, in bytes."""
 
     body_bytes: int = 4 * 1024 * 1024
-    """Longest request body, in bytes."""
+    """Maximum size of a request body, in bytes."""
 
     header_seconds: float = 3.0
-    """Longest time from the first byte of a head to its last."""
+    """Maximum time from the first byte of a request head to its last, in seconds."""
 
     idle_seconds: float = 15.0
-    """How long a connection may rest between requests."""
+    """Maximum time that a connection may be idle between requests, in seconds."""
 
 
 class AccountKeys(msgspec.Struct, frozen=True, kw_only=True):
-    """A client account and the keys that prove it."""
+    """A client account and its keys."""
 
     name: str
     """Name of the client account."""
@@ -192,11 +192,11 @@
     """Valid keys."""
 
     priority: int | None
-    """Rank that goes before the rank of the route, or None."""
+    """Priority rank that overrides that of the route, or None."""
 
 
 class TrafficConfiguration(msgspec.Struct, frozen=True, kw_only=True):
-    """One published document, decoded."""
+    """A decoded configuration document."""
 
     version: int
     """Version; the highest one is in force."""
@@ -208,7 +208,7 @@
     """Pools by name."""
 
     limits: CallerLimits
-    """Bounds for callers."""
+    """Limits for callers."""
 
     accounts: tuple[AccountKeys, ...]
-    """Client accounts; without any, no key is needed."""
+    """Client accounts; if there are none, no key is needed."""
--- a/src/ledgeladder/model/validation.py
+++ b/src/ledgeladder/model/validation.py
@@ -1,4 +1,4 @@
-"""Checking of what operators write: one message for each key that is wrong."""
+"""Validation of settings files and request bodies, with one message for each wrong key."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 _Model = TypeVar("_Model", bound=msgspec.Struct)
 
 MISSING: Final = "missing"
-"""Message for a key that is required and not there."""
+"""Message for a required key that is missing."""
 
 
 class Fault(msgspec.Struct, frozen=True, kw_only=True):
     """One wrong key."""
 
     key: str
-    """Where it stands: keys and positions in lists, joined by dots; empty for the whole."""
+    """Path of keys and list indices, joined by dots; empty for the whole content."""
 
     value: Any
-    """What stands there; None if nothing does."""
+    """Value of the key; None if it is missing."""
 
     message: str
-    """What is allowed."""
+    """Description of the allowed values."""
 
 
 def check_model(content: Any, model: type[_Model]) -> Result[_Model, list[Fault]]:
-    """Check the content of a file or of a request body.
+    """Validate the content of a file or of a request body.
 
-    Texts that stand for numbers or truth values are taken as such: templates write all values as
-    texts.
+    Strings are converted to numbers and booleans where needed, as templates write all values as
+    strings.
 
     Args:
-        content: Tables, lists and plain values, as TOML and JSON have them.
-        model: What it must hold.
+        content: Parsed TOML or JSON.
+        model: Model to convert it to.
 
     Returns:
-        The model, or every fault that was found.
+        The model instance, or all faults.
     """
     try:
         return Success(_convert(content, model))
@@ -97,13 +97,13 @@
 
 
 def section_of(annotation: Any) -> type[msgspec.Struct] | None:
-    """Return the section that a key holds, itself or in a list, or None if it holds a value."""
+    """Return the section type of a key or of its list items, or None if the key has a value."""
     if isinstance(annotation, type) and issubclass(annotation, msgspec.Struct):
         return annotation
     if get_origin(annotation) is None:
         return None
-    found = (section_of(part) for part in get_args(annotation))
-    return next((section for section in found if section is not None), None)
+    sections = (section_of(part) for part in get_args(annotation))
+    return next((section for section in sections if section is not None), None)
 
 
 def _join(key: str, name: str) -> str:
--- a/tests/model/test_codes.py
+++ b/tests/model/test_codes.py
@@ -1,4 +1,4 @@
-"""The documentation's table of result codes is the code's."""
+"""The table of result codes in the documentation matches the code."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     assert set(CODE_TABLE) == set(ResultCode)
 
 
-def test_page_lists_every_code_as_it_is() -> None:
+def test_documentation_matches_every_entry() -> None:
     lines = PAGE.read_text(encoding="utf-8").splitlines()
     rows = [line for line in lines if line.startswith("| ") and line[2].isdigit()]
     expected = [
--- a/tests/model/test_validation.py
+++ b/tests/model/test_validation.py
@@ -1,4 +1,4 @@
-"""Every wrong key of what an operator writes is named, with what is allowed."""
+"""Validation reports every wrong key, with the allowed values."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return {fault.key: fault.message for fault in found}
 
 
-def test_good_content_becomes_the_model() -> None:
+def test_valid_content_is_converted() -> None:
     page = check_model(
         GOOD | {"wait": "1.5", "peers": [{"name": "cd", "port": "7"}]}, Page
     ).unwrap()
@@ -40,7 +40,7 @@
     assert page.peers == (Peer(name="cd", port=7),)
 
 
-def test_each_wrong_key_is_named() -> None:
+def test_every_wrong_key_is_reported() -> None:
     content = {
         "own": {"name": "a", "colour": "red"},
         "peers": [{"name": "ab"}, {"name": "cd", "port": 0}],
@@ -55,7 +55,7 @@
     }
 
 
-def test_lists_and_tables_of_the_wrong_shape_are_named() -> None:
+def test_wrong_types_of_lists_and_sections_are_reported() -> None:
     three = [{"name": "ab"}] * 3
     assert faults(GOOD | {"peers": three}) == {"peers": "Expected `array` of length <= 2"}
     assert list(faults(GOOD | {"peers": "none"})) == ["peers"]
