--- a/src/ledgeladder/settings/__init__.py
+++ b/src/ledgeladder/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings files: models and loading."""
+"""Settings of the processes: models of the files and their loading."""
 
 from __future__ import annotations
 
--- a/src/ledgeladder/settings/discovered.py
+++ b/src/ledgeladder/settings/discovered.py
@@ -1,4 +1,4 @@
-"""Settings of processes that are given a few seeds instead of a list of boxes."""
+"""Settings of processes that discover each other from seeds instead of a list of boxes."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class _Section(msgspec.Struct, frozen=True, kw_only=True):
-    """A section whose unknown keys are ignored: a platform adds keys meant for others."""
+    """A section that ignores unknown keys, as platforms add keys for other programs."""
 
 
 class DiscoveredBox(_Section, frozen=True, kw_only=True):
-    """Where the process runs."""
+    """Box that the process runs on."""
 
     name: Name
     """Name of the box, for logs."""
@@ -28,7 +28,7 @@
 
 
 class DiscoveredCluster(_Section, frozen=True, kw_only=True):
-    """How the processes find each other."""
+    """Discovery and authentication of the processes."""
 
     name: Name = "ledgeladder"
     """Name of the cluster."""
@@ -53,7 +53,7 @@
 
 
 class Bounds(_Section, frozen=True, kw_only=True):
-    """What callers, operators and upstreams were promised."""
+    """Guarantees to callers, operators and upstreams."""
 
     strict_revocation: bool = True
     """True if a key that was taken away must not work after `revocation_ms`."""
@@ -84,7 +84,7 @@
 
 
 class GatewaySection(_Section, frozen=True, kw_only=True):
-    """An entry process that forwards HTTP."""
+    """Settings of an entry process that forwards HTTP."""
 
     caller_address: Address
     """Where it accepts callers."""
@@ -102,7 +102,7 @@
 
 
 class RegistrySection(_Section, frozen=True, kw_only=True):
-    """A control process that upstreams register with."""
+    """Settings of a control process that upstreams register with."""
 
     address: Address
     """Where it accepts upstreams and operators."""
@@ -124,35 +124,35 @@
     """Settings file of an entry process that forwards HTTP."""
 
     box: DiscoveredBox
-    """Where the process runs."""
+    """Box that the process runs on."""
 
     cluster: DiscoveredCluster
-    """How the processes find each other."""
+    """Discovery and authentication of the processes."""
 
     gateway: GatewaySection
-    """The process."""
+    """Settings of the process."""
 
     bounds: Bounds = Bounds()
-    """What was promised."""
+    """Guarantees to callers, operators and upstreams."""
 
     log: LogSection = LogSection()
-    """Structured logging."""
+    """Settings of structured logging."""
 
 
 class RegistrySettings(_Section, frozen=True, kw_only=True):
     """Settings file of a control process that upstreams register with."""
 
     box: DiscoveredBox
-    """Where the process runs."""
+    """Box that the process runs on."""
 
     cluster: DiscoveredCluster
-    """How the processes find each other."""
+    """Discovery and authentication of the processes."""
 
     registry: RegistrySection
-    """The process."""
+    """Settings of the process."""
 
     bounds: Bounds = Bounds()
-    """What was promised."""
+    """Guarantees to callers, operators and upstreams."""
 
     log: LogSection = LogSection()
-    """Structured logging."""
+    """Settings of structured logging."""
--- a/src/ledgeladder/settings/loading.py
+++ b/src/ledgeladder/settings/loading.py
@@ -1,4 +1,4 @@
-"""Reading and checking a settings file."""
+"""Loads and validates settings files."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         path: The file.
 
     Returns:
-        Its content, or a problem that names the file and the place.
+        Its content, or a problem with the file and the position of the error.
     """
     try:
         return Success(tomllib.loads(path.read_text(encoding="utf-8")))
@@ -50,15 +50,15 @@
 def check_settings(
     path: Path, content: dict[str, Any], model: type[_Settings]
 ) -> Result[_Settings, Problem]:
-    """Check the content of a settings file.
+    """Validate the content of a settings file.
 
     Args:
-        path: The file, for messages.
+        path: The file, for error messages.
         content: Its content.
-        model: The settings that it must hold.
+        model: Model to convert it to.
 
     Returns:
-        The settings, or a problem that names each wrong key, its value and what is allowed.
+        The settings, or a problem with each wrong key, its value and the allowed values.
     """
     return check_model(content, model).alt(
         lambda faults: _problem("\n".join(_describe(path, fault) for fault in faults))
@@ -66,9 +66,9 @@
 
 
 def drop_empty(content: Any) -> Any:
-    """Leave out empty values, at any depth.
+    """Remove empty values, at any depth.
 
-    A template writes an empty text where it has no value, which counts as a key that is not there.
+    Templates write an empty string where they have no value; the key then counts as missing.
 
     >>> drop_empty({"a": "", "b": {"c": None, "d": 0}})
     {'b': {'d': 0}}
--- a/src/ledgeladder/settings/models.py
+++ b/src/ledgeladder/settings/models.py
@@ -15,11 +15,11 @@
 
 
 class _Section(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A section whose unknown keys are refused, as an operator's spelling mistake is one."""
+    """A section that rejects unknown keys, which catches misspelled ones."""
 
 
 class BoxSection(_Section, frozen=True, kw_only=True):
-    """Where the process runs."""
+    """Box that the process runs on."""
 
     name: Name
     """Unique name of the process among all of its cluster."""
@@ -32,7 +32,7 @@
 
 
 class ClusterSection(_Section, frozen=True, kw_only=True):
-    """What all processes of the cluster share."""
+    """Settings shared by all processes of the cluster."""
 
     name: Name
     """Name of the cluster."""
@@ -42,7 +42,7 @@
 
 
 class LogSection(_Section, frozen=True, kw_only=True):
-    """Structured logging."""
+    """Settings of structured logging."""
 
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
     """Least level that is written."""
@@ -78,7 +78,7 @@
 
 
 class Operator(_Section, frozen=True, kw_only=True):
-    """Somebody who may change the configuration."""
+    """A person or program that may change the configuration."""
 
     name: Name
     """Name for the audit trail."""
@@ -88,7 +88,7 @@
 
 
 class ControlSection(_Section, frozen=True, kw_only=True):
-    """A control process."""
+    """Settings of a control process."""
 
     data_folder: Path
     """Folder on the disk that lasts."""
@@ -110,7 +110,7 @@
 
 
 class EntrySection(_Section, frozen=True, kw_only=True):
-    """An entry process."""
+    """Settings of an entry process."""
 
     caller_address: Address
     """Where it accepts callers."""
@@ -144,7 +144,7 @@
 
 
 class PlatformSection(_Section, frozen=True, kw_only=True):
-    """What the platform offers."""
+    """Endpoints of the platform."""
 
     box_list_url: Annotated[str, msgspec.Meta(pattern=r"^http://")] | None = None
     """Page with the live and leaving upstreams, which lags."""
@@ -157,13 +157,13 @@
     """Settings file of a control process."""
 
     box: BoxSection
-    """Where the process runs."""
+    """Box that the process runs on."""
 
     cluster: ClusterSection
-    """What all processes of the cluster share."""
+    """Settings shared by all processes of the cluster."""
 
     control: ControlSection
-    """The control process."""
+    """Settings of the control process."""
 
     controls: Annotated[tuple[ControlPeer, ...], msgspec.Meta(min_length=1, max_length=8)]
     """All control boxes, this one included."""
@@ -172,20 +172,20 @@
     """Who may change the configuration."""
 
     log: LogSection = LogSection()
-    """Structured logging."""
+    """Settings of structured logging."""
 
 
 class EntrySettings(_Section, frozen=True, kw_only=True):
     """Settings file of an entry process."""
 
     box: BoxSection
-    """Where the process runs."""
+    """Box that the process runs on."""
 
     cluster: ClusterSection
-    """What all processes of the cluster share."""
+    """Settings shared by all processes of the cluster."""
 
     entry: EntrySection
-    """The entry process."""
+    """Settings of the entry process."""
 
     controls: Annotated[tuple[ControlPeer, ...], msgspec.Meta(min_length=1, max_length=8)]
     """All control boxes."""
@@ -194,7 +194,7 @@
     """Entry boxes: all of the own failure domain, this one included, and some of each other."""
 
     platform: PlatformSection = PlatformSection()
-    """What the platform offers."""
+    """Endpoints of the platform."""
 
     log: LogSection = LogSection()
-    """Structured logging."""
+    """Settings of structured logging."""
--- a/src/ledgeladder/settings/reference.py
+++ b/src/ledgeladder/settings/reference.py
@@ -1,4 +1,4 @@
-"""The reference page of the settings, made from the models."""
+"""Generates the reference page of the settings from their models."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
     ("Gateway", GatewaySettings),
     ("Registry", RegistrySettings),
 )
-"""Processes with their settings, in the order of the page."""
+"""Settings models of the processes, in the order of the page."""
 
 
 def reference_page() -> str:
-    """Return the page in Markdown."""
+    """Return the reference page in Markdown."""
     lines = [PAGE_HEAD]
     for title, model in PROCESSES:
         lines.append(f"## {title} process\n")
@@ -63,10 +63,10 @@
 
 
 def _meanings(model: type[msgspec.Struct]) -> dict[str, str]:
-    """Return the documentation below each key of a section.
+    """Return the docstring below each field of a section.
 
-    It is read from the source here and not by the models, which processes build at their start:
-    that took a fifth of the time to start one.
+    They are parsed from the source here and not kept by the models, which would slow down the
+    start of every process.
     """
     meanings = {}
     for base in reversed(model.__mro__):
--- a/tests/settings/test_reference.py
+++ b/tests/settings/test_reference.py
@@ -1,4 +1,4 @@
-"""The documentation's page of settings is made from the models."""
+"""The settings page of the documentation matches the models."""
 
 from __future__ import annotations
 
