--- a/src/ledgeladder/daemons/entry/attempt.py
+++ b/src/ledgeladder/daemons/entry/attempt.py
@@ -11,7 +11,7 @@
 import anyio
 import msgspec
 
-from ...routing.pace import Pace, note_false_alarm, note_gap, stall_after
+from ...routing.pace import Pace, record_false_alarm, record_gap, stall_timeout
 from ...routing.rate_grants import acquire_grants, has_grant
 from ...routing.session import Session, TokenFrame, Verdict, accept_token
 from ...routing.upstream_table import record_success
@@ -236,7 +236,7 @@
     """
     while True:
         pace = progress.pace if session.tokens else context.first_pace
-        timeout = context.settings.entry.stall_seconds or stall_after(pace)
+        timeout = context.settings.entry.stall_seconds or stall_timeout(pace)
         inactive_seconds = now() - attempt.last_progress_at
         if attempt.blocked or inactive_seconds < timeout:
             await anyio.sleep(timeout if attempt.blocked else timeout - inactive_seconds)
@@ -248,7 +248,7 @@
             tasks.cancel_scope.cancel()
             return
         context.metrics.events["stall-false-alarm"] += 1
-        note_false_alarm(pace)
+        record_false_alarm(pace)
         attempt.last_progress_at = now()
 
 
@@ -282,12 +282,12 @@
     metrics.tokens += len(texts)
     if len(session.tokens) == len(texts):
         record(metrics.first_token, gap)
-        note_gap(context.first_pace, gap)
+        record_gap(context.first_pace, gap)
     elif progress.recovering:
         record(metrics.recovery, gap)
     else:
         record(metrics.token_gap, gap / len(texts))
-        note_gap(progress.pace, gap)
+        record_gap(progress.pace, gap)
     progress.recovering = False
     progress.last_token_at = at
 
--- a/src/ledgeladder/daemons/entry/checks.py
+++ b/src/ledgeladder/daemons/entry/checks.py
@@ -13,7 +13,7 @@
 from starlette.requests import ClientDisconnect
 
 from ...model import ClientAccount, Pipeline, Problem, ProblemError, ResultCode
-from ...routing.admission import DEFAULT_RANK, Ticket, arrive, expected_wait, finish
+from ...routing.admission import DEFAULT_RANK, Ticket, expected_wait, finish, submit
 from ...routing.policy import Decision, RequestFacts, evaluate_policy
 from ..clock import now
 from .metrics import record
@@ -202,7 +202,7 @@
         ProblemError: If the request is refused, immediately or once its deadline is too close.
     """
     ticket = Ticket(account=permit.account.name, rank=permit.rank, deadline=permit.deadline)
-    problem = arrive(context.admission, permit.account, ticket, now())
+    problem = submit(context.admission, permit.account, ticket, now())
     if problem is not None:
         raise ProblemError(problem)
     try:
--- a/src/ledgeladder/daemons/entry/watching.py
+++ b/src/ledgeladder/daemons/entry/watching.py
@@ -10,7 +10,7 @@
 from ...coordination.membership import UpstreamReport, merge_report, watchers
 from ...http1 import RestAskedError
 from ...model import UpstreamKind
-from ...routing.pace import note_gap, probe_patience
+from ...routing.pace import adaptive_probe_timeout, record_gap
 from ...routing.upstream_table import (
     apply_report,
     is_backing_off,
@@ -135,9 +135,11 @@
         False if it did not answer in time.
     """
     began = now()
-    live = await is_live(context.client, address, seconds=probe_patience(context.probe_pace))
+    live = await is_live(
+        context.client, address, seconds=adaptive_probe_timeout(context.probe_pace)
+    )
     if live:
-        note_gap(context.probe_pace, now() - began)
+        record_gap(context.probe_pace, now() - began)
     return live
 
 
--- a/src/ledgeladder/daemons/gateway/control_link.py
+++ b/src/ledgeladder/daemons/gateway/control_link.py
@@ -46,7 +46,7 @@
     record_exit,
     record_loss,
 )
-from ...routing.load_sharing import is_report_due, load_interval
+from ...routing.load_sharing import is_report_due, report_interval
 from ...routing.route_index import build_index
 from ..limit_keeper import handle_limit_message
 from ..peers import LINK_INACTIVITY_SECONDS, add_peers, primary_of
@@ -155,7 +155,7 @@
                 link.post(report)
                 _record_reported(state)
                 sent, sent_at = report, now
-        await anyio.sleep(load_interval(state.entry_count, len(peers.known)))
+        await anyio.sleep(report_interval(state.entry_count, len(peers.known)))
 
 
 def _build_load_report(state: GatewayState) -> LoadReport:
--- a/src/ledgeladder/daemons/gateway/plain.py
+++ b/src/ledgeladder/daemons/gateway/plain.py
@@ -23,7 +23,7 @@
     record_loss,
     record_success,
 )
-from ...routing.pace import note_gap, stall_after
+from ...routing.pace import record_gap, stall_timeout
 from ...routing.rate_grants import any_limited
 from ...routing.retry_window import record_first_try, release_retry
 from ...routing.service_choice import choose_service
@@ -237,7 +237,7 @@
     outcome = "answered"
     try:
         answer, body = await _send(state, permit, request, dispatch, upstream, attempts, seconds)
-        note_gap(answer_pace(state, permit.pool.name), anyio.current_time() - now)
+        record_gap(answer_pace(state, permit.pool.name), anyio.current_time() - now)
         if answer.facts.not_run:
             outcome = f"refused with status {answer.head.status_code}"
         return _evaluate(attempts, upstream, answer, body)
@@ -344,7 +344,7 @@
     share of the route's target latency.
     """
     pace = answer_pace(state, permit.pool.name)
-    usual = stall_after(pace) if pace.mean > 0 else 0.0
+    usual = stall_timeout(pace) if pace.mean > 0 else 0.0
     return max(permit.route.target_latency * FIRST_ATTEMPT_SHARE, usual)
 
 
--- a/src/ledgeladder/daemons/gateway/probing.py
+++ b/src/ledgeladder/daemons/gateway/probing.py
@@ -11,7 +11,7 @@
 from ...links import is_port_closed
 from ...links.messages import LossReport
 from ...routing.forwarding_table import record_exit, record_loss
-from ...routing.pace import note_gap, probe_patience
+from ...routing.pace import adaptive_probe_timeout, record_gap
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -145,7 +145,9 @@
     )
     round_trip = 2.0 * max(delays, default=UNKNOWN_ROUND_TRIP_SECONDS / 2.0)
     floor = PROBE_ROUND_TRIPS * round_trip
-    return probe_patience(state.probe_pace, floor=floor, ceiling=floor * PROBE_CEILING_FACTOR)
+    return adaptive_probe_timeout(
+        state.probe_pace, floor=floor, ceiling=floor * PROBE_CEILING_FACTOR
+    )
 
 
 async def _probe(state: GatewayState, engine: ForwardedUpstream) -> str:
@@ -170,14 +172,14 @@
             if not isinstance(error.__cause__, TimeoutError):
                 return reason
         else:
-            note_gap(state.probe_pace, elapsed)
+            record_gap(state.probe_pace, elapsed)
             engine.last_success_at = anyio.current_time()
             return ""
         elapsed = anyio.current_time() - started_at
         if elapsed <= timeout + LATE_TIMER_SECONDS:
             return reason
         # A late timeout also indicates that connections from this box are slow to open.
-        note_gap(state.probe_pace, elapsed)
+        record_gap(state.probe_pace, elapsed)
     state.metrics.counters["probe-held-up"] += 1
     logger.warning(
         "probe says nothing",
--- a/src/ledgeladder/daemons/gateway/stall_watch.py
+++ b/src/ledgeladder/daemons/gateway/stall_watch.py
@@ -8,7 +8,7 @@
 import anyio
 
 from ...http1 import AnswerBrokenError, read_part
-from ...routing.pace import note_false_alarm, stall_after
+from ...routing.pace import record_false_alarm, stall_timeout
 from ...routing.suspected_links import suspect_links
 from .probing import find_unreachable
 from .slowdown_queries import query_slowdowns
@@ -87,10 +87,10 @@
 
     Cancels the scope if one of them is unreachable, or after the stream's `first_limit`.
     """
-    limit = session.timeouts.first_limit
+    limit = session.timeouts.first_timeout
     waited = 0.0
     while waited < limit:
-        timeout = max(stall_after(state.first_event_pace), session.timeouts.first_look)
+        timeout = max(stall_timeout(state.first_event_pace), session.timeouts.first_probe)
         timeout = min(timeout, limit - waited)
         await anyio.sleep(timeout)
         waited += timeout
@@ -129,8 +129,8 @@
 def _gap_timeout(session: StreamSession) -> float:
     """Return how long the next part may take before the engines are probed, in seconds."""
     is_known = session.pace.mean > 0
-    timeout = stall_after(session.pace) if is_known else session.timeouts.first_look
-    return min(timeout, session.timeouts.gap_limit)
+    timeout = stall_timeout(session.pace) if is_known else session.timeouts.first_probe
+    return min(timeout, session.timeouts.gap_timeout)
 
 
 async def _read_overdue(
@@ -182,15 +182,15 @@
         if await find_unreachable(state, path.engines, session.dead):
             reasons.append("an engine of the path is unreachable")
             break
-        if waited >= session.timeouts.ask:
+        if waited >= session.timeouts.slowdown_query:
             await query_slowdowns(state, path)
         _suspect_links(state, session, path, waited)
-        if waited >= session.timeouts.gap_limit:
+        if waited >= session.timeouts.gap_timeout:
             _exclude_path(session, path)
             reasons.append(f"stalled for {waited:.2f} s")
             break
         state.metrics.counters["false-alarm"] += 1
-        note_false_alarm(session.pace)
+        record_false_alarm(session.pace)
         timeout = _gap_timeout(session)
         await anyio.sleep(timeout)
         waited += timeout
@@ -206,7 +206,7 @@
     state: GatewayState, session: StreamSession, path: ChosenPath, waited: float
 ) -> None:
     """Avoid the links of a path that stays stalled although all of its engines are reachable."""
-    if waited < session.timeouts.link:
+    if waited < session.timeouts.link_avoidance:
         return
     known = set(state.suspected_links.until)
     links = suspect_links(state.suspected_links, path.domains, anyio.current_time())
--- a/src/ledgeladder/daemons/gateway/state.py
+++ b/src/ledgeladder/daemons/gateway/state.py
@@ -273,9 +273,7 @@
 def build_admission_queue(settings: GatewaySettings) -> AdmissionQueue:
     """Build a queue that is bounded by the settings."""
     section = settings.gateway
-    queue = WaitQueue(
-        most_requests=section.wait_queue_requests, most_bytes=section.wait_queue_bytes
-    )
+    queue = WaitQueue(max_requests=section.wait_queue_requests, max_bytes=section.wait_queue_bytes)
     return AdmissionQueue(queue=queue)
 
 
--- a/src/ledgeladder/daemons/gateway/stream.py
+++ b/src/ledgeladder/daemons/gateway/stream.py
@@ -10,9 +10,9 @@
 from ...model import Execution, Problem, ProblemError, ResultCode
 from ...platform.exchange import caller_headers
 from ...routing.event_stream import EventOrder
-from ...routing.pace import note_gap
+from ...routing.pace import record_gap
 from ...routing.retry_window import record_first_try, release_retry
-from ...routing.stream_patience import stream_patience
+from ...routing.stream_patience import stream_timeouts
 from .borrowing import acquire_retry
 from .checks import Permit, refusal
 from .crashes import count_crashes, record_answered
@@ -57,7 +57,7 @@
     expected = expected_answer_tokens(permit, profile)
     session = StreamSession(
         order=EventOrder(last_id=permit.facts.resume_after),
-        timeouts=stream_patience(
+        timeouts=stream_timeouts(
             target_latency=permit.route.target_latency,
             gap_target=permit.route.gap_target,
             probe_seconds=probe_timeout(state, permit.pool.name),
@@ -89,7 +89,7 @@
             result = await run_attempt(state, permit, request, exchange, session, path)
             if result is AttemptResult.COMPLETE:
                 record_answered(state, permit, request, trace)
-                note_gap(state.stream_pace, anyio.current_time() - request.arrived_at)
+                record_gap(state.stream_pace, anyio.current_time() - request.arrived_at)
                 return
             if retry is not None and result is AttemptResult.NOT_SENT:
                 release_retry(budget, retry)
@@ -114,7 +114,7 @@
         return False
     timeouts = session.timeouts
     until = session.last_progress_at + (
-        timeouts.gap_look if session.started else timeouts.first_look
+        timeouts.gap_probe if session.started else timeouts.first_probe
     )
     return await wait_for_upstreams(state, permit, request, trace, seconds=wait, until=until)
 
--- a/src/ledgeladder/daemons/gateway/stream_events.py
+++ b/src/ledgeladder/daemons/gateway/stream_events.py
@@ -7,8 +7,8 @@
 import anyio
 
 from ...platform.exchange import caller_headers
-from ...routing.event_stream import EventBuffer, take_events
-from ...routing.pace import note_gap
+from ...routing.event_stream import EventBuffer, accept_events
+from ...routing.pace import record_gap
 from .stall_watch import read_watched
 from .state import record_duration
 from .stream_session import AttemptResult
@@ -60,7 +60,7 @@
                 return AttemptResult.LOST, "the stream ended within an event"
             await _finish_answer(exchange, session, answer)
             return AttemptResult.COMPLETE, ""
-        accepted, fault = take_events(session.order, buffer.feed(part))
+        accepted, fault = accept_events(session.order, buffer.feed(part))
         if accepted:
             _record_events(state, session, path, started_at)
             session.emitting = True
@@ -92,11 +92,11 @@
     if not session.started:
         record_duration(state.metrics.first_event, gap)
         session.trace.first_event = gap
-        note_gap(state.first_event_pace, now - started_at)
+        record_gap(state.first_event_pace, now - started_at)
     else:
         record_duration(state.metrics.gap, gap)
         session.trace.longest_gap = max(session.trace.longest_gap, gap)
-        note_gap(session.pace, gap)
+        record_gap(session.pace, gap)
     session.last_progress_at = now
 
 
--- a/src/ledgeladder/daemons/gateway/stream_paths.py
+++ b/src/ledgeladder/daemons/gateway/stream_paths.py
@@ -89,7 +89,7 @@
         link_penalties=link_penalties(state.suspected_links, now),
         link_utilization=link_utilization(state.link_load, state.entry_count, now),
         previous_instances=session.tried,
-        stalled_after=session.timeouts.gap_look if session.dead else math.inf,
+        stalled_after=session.timeouts.gap_probe if session.dead else math.inf,
         link_limit=RESUMED_STREAM_LIMIT if session.started else NEW_REQUEST_LIMIT,
         sharers=max(1.0, state.entry_count / _domain_count(state, permit)),
     )
--- a/src/ledgeladder/daemons/gateway/stream_session.py
+++ b/src/ledgeladder/daemons/gateway/stream_session.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from ...routing.event_stream import EventOrder
     from ...routing.paths import NoPathReason
-    from ...routing.stream_patience import StreamPatience
+    from ...routing.stream_patience import StreamTimeouts
     from .upstream_call import OpenAnswer
 
 
@@ -40,7 +40,7 @@
     order: EventOrder
     """Position of the caller in the stream."""
 
-    timeouts: StreamPatience
+    timeouts: StreamTimeouts
     """Stall timeouts."""
 
     tokens: int
@@ -98,4 +98,4 @@
     """True if an engine of the current attempt was found dead; no more events are forwarded."""
 
     def __post_init__(self) -> None:
-        self.pace = Pace(floor=self.timeouts.gap_look)
+        self.pace = Pace(floor=self.timeouts.gap_probe)
--- a/src/ledgeladder/daemons/gateway/waiting.py
+++ b/src/ledgeladder/daemons/gateway/waiting.py
@@ -10,9 +10,15 @@
 import anyio
 
 from ...routing.forwarding_table import accepts_work, covers_layers, is_at_max_requests, is_usable
-from ...routing.pace import note_gap
+from ...routing.pace import record_gap
 from ...routing.route_index import find_route
-from ...routing.wait_queue import enter, leave, next_to_go, reading_seconds, wait_until
+from ...routing.wait_queue import (
+    enqueue,
+    next_request,
+    prefill_seconds,
+    remove_request,
+    wait_deadline,
+)
 from .backpressure import request_grants
 from .checks import LAST_RANK, STARTUP_SECONDS, rank_request
 from .state import answer_pace, check_freshness
@@ -96,17 +102,17 @@
     """
     now = anyio.current_time()
     admission = state.start_queue
-    until = wait_until(
+    until = wait_deadline(
         arrived_at=request.arrived_at,
-        patience=facts.timeout,
+        timeout=facts.timeout,
         served_at=state.started_at + STARTUP_SECONDS,
     )
     if until <= now:
         return 0.0
-    waiting_request = enter(
+    waiting_request = enqueue(
         admission.queue,
         size=len(request.body),
-        pace=lambda: _prefill_seconds(state, facts),
+        release_interval=lambda: _prefill_seconds(state, facts),
         is_resumed=facts.resume_after is not None,
         rank=lambda: _admission_rank(state, facts, anyio.current_time()),
     )
@@ -123,7 +129,7 @@
     if state.configuration is None or state.refusing:
         return 0.0
     profiles = [pool.engine for pool in state.configuration.pools.values() if pool.engine]
-    return max((reading_seconds(item, facts.prompt_tokens) for item in profiles), default=0.0)
+    return max((prefill_seconds(item, facts.prompt_tokens) for item in profiles), default=0.0)
 
 
 async def wait_for_upstreams(
@@ -162,10 +168,10 @@
             permit.priority if at >= check_from and _has_capacity(state, permit.pool, at) else None
         )
 
-    waiting_request = enter(
+    waiting_request = enqueue(
         admission.queue,
         size=len(request.body),
-        pace=lambda: _admission_delay(state, permit),
+        release_interval=lambda: _admission_delay(state, permit),
         is_resumed=permit.facts.resume_after is not None,
         rank=rank,
     )
@@ -213,7 +219,7 @@
     """
     pool = permit.pool
     if pool.engine is not None:
-        return reading_seconds(pool.engine, permit.facts.prompt_tokens)
+        return prefill_seconds(pool.engine, permit.facts.prompt_tokens)
     now = anyio.current_time()
     accepting = [item for item in state.table.pools.get(pool.name, []) if accepts_work(item, now)]
     slots = sum(item.registration.slots for item in accepting)
@@ -233,7 +239,7 @@
             await admitted.wait()
     finally:
         del admission.admissions[waiting_request.ticket]
-        leave(admission.queue, waiting_request)
+        remove_request(admission.queue, waiting_request)
     return admitted.is_set()
 
 
@@ -253,15 +259,15 @@
     Returns:
         Delay before the next call, in seconds.
     """
-    request = next_to_go(admission.queue)
+    request = next_request(admission.queue)
     if request is None:
         return POLL_SECONDS
-    leave(admission.queue, request)
+    remove_request(admission.queue, request)
     admission.admissions[request.ticket].set()
     now = anyio.current_time()
     if admission.queue.waiting or admission.last_admitted_at > admission.waiting_since:
-        note_gap(
+        record_gap(
             admission.admission_pace, now - max(admission.last_admitted_at, admission.waiting_since)
         )
     admission.last_admitted_at = now
-    return request.pace()
+    return request.release_interval()
--- a/src/ledgeladder/daemons/registry/load_totals.py
+++ b/src/ledgeladder/daemons/registry/load_totals.py
@@ -7,7 +7,7 @@
 import anyio
 
 from ...coordination.upstream_order import LoadFigures
-from ...routing.load_sharing import LOAD_BELIEVED_SECONDS
+from ...routing.load_sharing import LOAD_VALID_SECONDS
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -50,7 +50,7 @@
 
 
 def _is_recent(report: ReportedLoad | ReportedShare, now: float) -> bool:
-    return now - report.reported_at <= LOAD_BELIEVED_SECONDS
+    return now - report.reported_at <= LOAD_VALID_SECONDS
 
 
 def _sum_by_instance(parts: Iterable[dict[str, LoadFigures]]) -> dict[str, LoadFigures]:
--- a/src/ledgeladder/daemons/registry/telling.py
+++ b/src/ledgeladder/daemons/registry/telling.py
@@ -27,7 +27,7 @@
     RegistrationAges,
     RegistrationUpdate,
 )
-from ...routing.load_sharing import is_report_due, load_interval
+from ...routing.load_sharing import is_report_due, report_interval
 from ...storage import box_of
 from ..peers import add_peers
 from .lending import update_voter_status
@@ -196,7 +196,7 @@
     while True:
         message_bytes = LOAD_BYTES * len(state.upstream_index.instances)
         controls = len(state.peers.known) + 1
-        await anyio.sleep(load_interval(count_entries(state), controls, message_bytes))
+        await anyio.sleep(report_interval(count_entries(state), controls, message_bytes))
         now = anyio.current_time()
         drop_expired_reports(state, now)
         if not state.loads:
--- a/src/ledgeladder/routing/admission.py
+++ b/src/ledgeladder/routing/admission.py
@@ -90,7 +90,7 @@
     """Mean duration of a request."""
 
 
-def arrive(
+def submit(
     admission: Admission, account: ClientAccount, ticket: Ticket, now: float
 ) -> Problem | None:
     """Admit, queue or refuse a request.
@@ -143,7 +143,7 @@
         detail = f"account {account.name} is limited to {account.rate:g} requests a second"
         return Problem(code=ResultCode.RATE_EXCEEDED, detail=detail, retry_after=retry_after)
     share = max(1, account.concurrency // admission.boxes)
-    if use.in_flight + _waiting_of(admission, account.name) >= share:
+    if use.in_flight + _count_waiting(admission, account.name) >= share:
         detail = f"account {account.name} is limited to {account.concurrency} requests in progress"
         return Problem(
             code=ResultCode.CONCURRENCY_EXCEEDED,
@@ -153,7 +153,7 @@
     return None
 
 
-def _waiting_of(admission: Admission, account: str) -> int:
+def _count_waiting(admission: Admission, account: str) -> int:
     return sum(1 for ticket in admission.waiting if ticket.account == account)
 
 
--- a/src/ledgeladder/routing/event_stream.py
+++ b/src/ledgeladder/routing/event_stream.py
@@ -100,7 +100,7 @@
     return True
 
 
-def take_events(order: EventOrder, events: list[StreamEvent]) -> tuple[list[bytes], str]:
+def accept_events(order: EventOrder, events: list[StreamEvent]) -> tuple[list[bytes], str]:
     """Judge the events of one part.
 
     Args:
--- a/src/ledgeladder/routing/forwarding_table.py
+++ b/src/ledgeladder/routing/forwarding_table.py
@@ -12,7 +12,7 @@
 
 from ..model.registration import Registration, UpstreamState, estimate_start
 from .backpressure import Backpressure, BackpressureTable, find_backpressure
-from .load_sharing import LOAD_BELIEVED_SECONDS
+from .load_sharing import LOAD_VALID_SECONDS
 from .rate_grants import GrantedLimit, GrantedLimitTable, grant_wait, has_grant
 
 if TYPE_CHECKING:
@@ -339,7 +339,7 @@
 
 def has_recent_peer_load(upstream: ForwardedUpstream, now: float) -> bool:
     """Return whether the load of other boxes was reported recently."""
-    return now - upstream.peer_load_at < LOAD_BELIEVED_SECONDS
+    return now - upstream.peer_load_at < LOAD_VALID_SECONDS
 
 
 def total_in_flight(upstream: ForwardedUpstream, now: float, sharers: float) -> float:
--- a/src/ledgeladder/routing/pace.py
+++ b/src/ledgeladder/routing/pace.py
@@ -6,37 +6,37 @@
 
 import msgspec
 
-GAIN: Final = 0.125
+MEAN_GAIN: Final = 0.125
 """Weight of a new gap in the mean, as in TCP's round-trip estimate (RFC 6298)."""
 
 DEVIATION_GAIN: Final = 0.25
 """Weight of a new deviation."""
 
-DEVIATIONS: Final = 6.0
+STALL_DEVIATIONS: Final = 6.0
 """Deviations above the mean at which a gap counts as a stall."""
 
-FACTOR: Final = 3.0
+STALL_FACTOR: Final = 3.0
 """A stall is at least this many times the mean gap."""
 
-FLOOR_SECONDS: Final = 0.25
+MIN_STALL_SECONDS: Final = 0.25
 """Shorter gaps are never called a stall: garbage collection and scheduling cause those."""
 
 PROBE_FACTOR: Final = 5.0
 """A probe may take this many times the mean of answered ones."""
 
-PROBE_FLOOR_SECONDS: Final = 0.4
+MIN_PROBE_SECONDS: Final = 0.4
 """Least time that a probe may take where the caller names none."""
 
-PROBE_CEILING_SECONDS: Final = 2.0
+MAX_PROBE_SECONDS: Final = 2.0
 """Most time that a probe may take where the caller names none."""
 
-LENIENCY_LIMIT: Final = 16.0
+MAX_LENIENCY: Final = 16.0
 """Most that false alarms can stretch the time."""
 
 LENIENCY_DECAY: Final = 0.95
 """What each gap without an alarm leaves of that stretch."""
 
-CEILING_SECONDS: Final = 5.0
+MAX_STALL_SECONDS: Final = 5.0
 """Longer gaps are always called a stall."""
 
 
@@ -52,11 +52,11 @@
     leniency: float = 1.0
     """Raised after a false alarm."""
 
-    floor: float = FLOOR_SECONDS
+    floor: float = MIN_STALL_SECONDS
     """Shorter gaps are never called a stall, in seconds."""
 
 
-def note_gap(pace: Pace, gap: float) -> None:
+def record_gap(pace: Pace, gap: float) -> None:
     """Take one gap into account."""
     pace.leniency = max(1.0, pace.leniency * LENIENCY_DECAY)
     if pace.mean == 0.0:
@@ -64,22 +64,22 @@
         pace.deviation = gap / 2
         return
     pace.deviation += DEVIATION_GAIN * (abs(gap - pace.mean) - pace.deviation)
-    pace.mean += GAIN * (gap - pace.mean)
+    pace.mean += MEAN_GAIN * (gap - pace.mean)
 
 
-def stall_after(pace: Pace) -> float:
+def stall_timeout(pace: Pace) -> float:
     """Return the gap, in seconds, from which on a route counts as stalled."""
     if pace.mean == 0.0:
-        return CEILING_SECONDS
-    expected = max(pace.mean * FACTOR, pace.mean + DEVIATIONS * pace.deviation)
-    return min(max(expected * pace.leniency, pace.floor), CEILING_SECONDS)
+        return MAX_STALL_SECONDS
+    expected = max(pace.mean * STALL_FACTOR, pace.mean + STALL_DEVIATIONS * pace.deviation)
+    return min(max(expected * pace.leniency, pace.floor), MAX_STALL_SECONDS)
 
 
-def probe_patience(
+def adaptive_probe_timeout(
     pace: Pace,
     *,
-    floor: float = PROBE_FLOOR_SECONDS,
-    ceiling: float = PROBE_CEILING_SECONDS,
+    floor: float = MIN_PROBE_SECONDS,
+    ceiling: float = MAX_PROBE_SECONDS,
 ) -> float:
     """Return how long a probe may take, in seconds, given how long answered ones took.
 
@@ -92,10 +92,10 @@
         At least the floor, so that a quick neighbourhood does not make a busy engine look dead; at
         most the ceiling, so that a dead one is replaced in time.
     """
-    expected = max(pace.mean * PROBE_FACTOR, pace.mean + DEVIATIONS * pace.deviation)
+    expected = max(pace.mean * PROBE_FACTOR, pace.mean + STALL_DEVIATIONS * pace.deviation)
     return min(max(expected, floor), ceiling)
 
 
-def note_false_alarm(pace: Pace) -> None:
+def record_false_alarm(pace: Pace) -> None:
     """Wait longer from now on, since every stage turned out to be alive."""
-    pace.leniency = min(pace.leniency * 2, LENIENCY_LIMIT)
+    pace.leniency = min(pace.leniency * 2, MAX_LENIENCY)
--- a/src/ledgeladder/routing/session.py
+++ b/src/ledgeladder/routing/session.py
@@ -109,7 +109,7 @@
     Returns:
         The verdict; anything but ACCEPTED left the session as it was.
     """
-    verdict = _judge(session, frame)
+    verdict = _evaluate(session, frame)
     if verdict is not Verdict.ACCEPTED:
         session.dropped[verdict] += 1
         return verdict
@@ -121,7 +121,7 @@
     return verdict
 
 
-def _judge(session: Session, frame: TokenFrame) -> Verdict:
+def _evaluate(session: Session, frame: TokenFrame) -> Verdict:
     if frame.session != session.session_id:
         return Verdict.FOREIGN_SESSION
     if frame.attempt != session.attempt:
--- a/src/ledgeladder/routing/wait_queue.py
+++ b/src/ledgeladder/routing/wait_queue.py
@@ -23,10 +23,10 @@
 
     from ..model.traffic import EngineProfile
 
-PATIENCE_SHARE: Final = 0.5
+MAX_WAIT_SHARE: Final = 0.5
 """Part of the time which a caller has that its request may wait; the rest is for serving it."""
 
-UNKNOWN_PATIENCE_SECONDS: Final = 2.0
+DEFAULT_TIMEOUT_SECONDS: Final = 2.0
 """Time that a caller is taken to have if it names none, about the shortest after which people and
 client libraries give up."""
 
@@ -40,7 +40,7 @@
     size: int
     """Bytes of its body."""
 
-    pace: Callable[[], float]
+    release_interval: Callable[[], float]
     """Returns how long the next one is to wait after this one went on, in seconds."""
 
     is_resumed: bool
@@ -53,48 +53,48 @@
 class WaitQueue(msgspec.Struct, kw_only=True):
     """Requests that wait, in the order in which they came."""
 
-    most_requests: int
+    max_requests: int
     """Most requests that wait at once."""
 
-    most_bytes: int
+    max_bytes: int
     """Most bytes that their bodies have together."""
 
     waiting: dict[int, WaitingRequest] = msgspec.field(default_factory=dict)
     """Requests by ticket."""
 
-    held_bytes: int = 0
+    queued_bytes: int = 0
     """Bytes of their bodies."""
 
     last_ticket: int = 0
     """Ticket that was given last."""
 
 
-def wait_until(*, arrived_at: float, patience: float | None, served_at: float) -> float:
+def wait_deadline(*, arrived_at: float, timeout: float | None, served_at: float) -> float:
     """Return until when a request may wait, on the clock of the arguments.
 
     Args:
         arrived_at: When it arrived, in seconds.
-        patience: How long its caller waits in all, in seconds; None if it does not say.
+        timeout: How long its caller waits in all, in seconds; None if it does not say.
         served_at: When it can be served at the latest, as far as the box can know.
 
     Returns:
         The earlier of that and the end of the part of its time that may pass with waiting. It has
         passed already for a request that must not wait.
 
-    >>> wait_until(arrived_at=10.0, patience=20.0, served_at=11.0)
+    >>> wait_deadline(arrived_at=10.0, timeout=20.0, served_at=11.0)
     11.0
-    >>> wait_until(arrived_at=10.0, patience=0.6, served_at=11.0)
+    >>> wait_deadline(arrived_at=10.0, timeout=0.6, served_at=11.0)
     10.3
     """
-    seconds = UNKNOWN_PATIENCE_SECONDS if patience is None else patience
-    return min(served_at, arrived_at + seconds * PATIENCE_SHARE)
+    seconds = DEFAULT_TIMEOUT_SECONDS if timeout is None else timeout
+    return min(served_at, arrived_at + seconds * MAX_WAIT_SHARE)
 
 
-def enter(
+def enqueue(
     queue: WaitQueue,
     *,
     size: int,
-    pace: Callable[[], float],
+    release_interval: Callable[[], float],
     is_resumed: bool,
     rank: Callable[[], int | None],
 ) -> WaitingRequest | None:
@@ -103,36 +103,36 @@
     Args:
         queue: The queue.
         size: Bytes of its body.
-        pace: Returns how long the next one is to wait after it went on, in seconds.
+        release_interval: Returns how long the next one is to wait after it went on, in seconds.
         is_resumed: True for a stream that was cut.
         rank: Returns its priority; None while it cannot be served.
 
     Returns:
-        The request, which must `leave` in the end; None if there is no room.
+        The request, which must `remove_request` in the end; None if there is no room.
     """
-    is_full = len(queue.waiting) >= queue.most_requests
-    if is_full or queue.held_bytes + size > queue.most_bytes:
+    is_full = len(queue.waiting) >= queue.max_requests
+    if is_full or queue.queued_bytes + size > queue.max_bytes:
         return None
     queue.last_ticket += 1
     entered = WaitingRequest(
         ticket=queue.last_ticket,
         size=size,
-        pace=pace,
+        release_interval=release_interval,
         is_resumed=is_resumed,
         rank=rank,
     )
     queue.waiting[entered.ticket] = entered
-    queue.held_bytes += size
+    queue.queued_bytes += size
     return entered
 
 
-def leave(queue: WaitQueue, request: WaitingRequest) -> None:
+def remove_request(queue: WaitQueue, request: WaitingRequest) -> None:
     """Take a request out, whether it goes on, was refused or lost its caller; once or twice."""
     if queue.waiting.pop(request.ticket, None) is not None:
-        queue.held_bytes -= request.size
+        queue.queued_bytes -= request.size
 
 
-def next_to_go(queue: WaitQueue) -> WaitingRequest | None:
+def next_request(queue: WaitQueue) -> WaitingRequest | None:
     """Return who goes first: who was cut, then the more urgent, then who came first.
 
     Returns:
@@ -146,7 +146,7 @@
     return queue.waiting[min(ranked)[-1]] if ranked else None
 
 
-def reading_seconds(profile: EngineProfile, prompt_tokens: int) -> float:
+def prefill_seconds(profile: EngineProfile, prompt_tokens: int) -> float:
     """Return how long engines take to read a prompt, which a box lets pass before the next one.
 
     A box then adds one unread prompt at a time to what engines have to read. All boxes together
--- a/tests/daemons/gateway/test_stream_attempt.py
+++ b/tests/daemons/gateway/test_stream_attempt.py
@@ -25,11 +25,11 @@
 from ledgeladder.links.messages import LossReport
 from ledgeladder.routing.event_stream import EventOrder
 from ledgeladder.routing.forwarding_table import FULL_AVOID_SECONDS, is_usable, record_loss
-from ledgeladder.routing.stream_patience import stream_patience
+from ledgeladder.routing.stream_patience import stream_timeouts
 
 from .builders import engine, gateway_state, path_over
 
-TIMEOUTS = stream_patience(
+TIMEOUTS = stream_timeouts(
     target_latency=0.5, gap_target=0.2, probe_seconds=0.04, first_seconds=0.1
 )
 
--- a/tests/daemons/gateway/test_waiting.py
+++ b/tests/daemons/gateway/test_waiting.py
@@ -362,7 +362,7 @@
 def test_full_queue_refuses_at_once() -> None:
     async def run() -> None:
         state = gateway_state()
-        state.upstream_queue.queue.most_requests = 0
+        state.upstream_queue.queue.max_requests = 0
         backing_off_service(state, 0.1)
         with anyio.fail_after(0.05):
             assert not await wait(state, permit(5.0), 0.1)
--- a/tests/routing/fleet_simulation.py
+++ b/tests/routing/fleet_simulation.py
@@ -1,7 +1,7 @@
 """Simulation of a fleet in virtual time: boxes with the real path selection, and simulated engines.
 
 Each box sees its own requests at once and those of other boxes when load sums arrive, every
-`load_interval`. An engine refuses a request that does not fit in its KV cache. The duration of a
+`report_interval`. An engine refuses a request that does not fit in its KV cache. The duration of a
 stream depends on the cards of its path and on what runs on them when it starts.
 """
 
@@ -17,7 +17,7 @@
 from ledgeladder.model.traffic import CardKind
 from ledgeladder.routing.forwarding_table import ForwardedUpstream, apply_peer_load, record_full
 from ledgeladder.routing.layer_coverage import kv_capacity
-from ledgeladder.routing.load_sharing import load_interval
+from ledgeladder.routing.load_sharing import report_interval
 from ledgeladder.routing.path_costs import PathRequest
 from ledgeladder.routing.paths import ChosenPath, choose_path, release, reserve
 from ledgeladder.routing.placed_engine import PlacedEngine
@@ -204,7 +204,7 @@
             )
             for number in range(boxes)
         ]
-        self.interval = load_interval(boxes, CONTROLS)
+        self.interval = report_interval(boxes, CONTROLS)
         for box in self.boxes:
             self.at(self.rng.random() * self.interval, lambda box=box: self.exchange_loads(box))
         self.at(0.0, self.start_stream)
--- a/tests/routing/rest_bed.py
+++ b/tests/routing/rest_bed.py
@@ -25,7 +25,7 @@
     record_load,
     record_success,
 )
-from ledgeladder.routing.load_sharing import load_interval
+from ledgeladder.routing.load_sharing import report_interval
 from ledgeladder.routing.service_choice import choose_service
 
 from .virtual_time import VirtualTime
@@ -139,7 +139,7 @@
 
     def tell_loads(self) -> None:
         """Tell all boxes what the requests of all of them take on each service."""
-        self.at(self.now + load_interval(len(self.views), CONTROLS), self.tell_loads)
+        self.at(self.now + report_interval(len(self.views), CONTROLS), self.tell_loads)
         for item in self.services:
             total = sum(pool[item.number].in_flight for pool in self.views)
             for pool in self.views:
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -5,7 +5,7 @@
 import random
 
 from ledgeladder.model import ClientAccount, ResultCode
-from ledgeladder.routing.admission import Admission, Ticket, arrive, finish
+from ledgeladder.routing.admission import Admission, Ticket, finish, submit
 
 
 def account(name: str = "a", rate: float = 1000.0, concurrency: int = 1000) -> ClientAccount:
@@ -21,9 +21,9 @@
     accepted = 0
     for step in range(10_000):
         now = step / 1000
-        accepted += arrive(admission, account(rate=80.0), ticket(), now) is None
+        accepted += submit(admission, account(rate=80.0), ticket(), now) is None
     assert 90 <= accepted <= 120
-    refused = arrive(admission, account(rate=80.0), ticket(), 10.0)
+    refused = submit(admission, account(rate=80.0), ticket(), 10.0)
     assert refused is not None
     assert refused.code is ResultCode.RATE_EXCEEDED
     assert refused.retry_after is not None
@@ -32,7 +32,7 @@
 
 def test_concurrency_is_shared_over_boxes() -> None:
     admission = Admission(in_flight_limit=100, queue_limit=10, boxes=4)
-    results = [arrive(admission, account(concurrency=8), ticket(), n / 10) for n in range(3)]
+    results = [submit(admission, account(concurrency=8), ticket(), n / 10) for n in range(3)]
     assert results[:2] == [None, None]
     assert results[2] is not None
     assert results[2].code is ResultCode.CONCURRENCY_EXCEEDED
@@ -41,7 +41,7 @@
 def test_priority_then_fairness_then_deadline() -> None:
     admission = Admission(in_flight_limit=1, queue_limit=10, mean_seconds=0.01)
     running = ticket("big")
-    arrive(admission, account("big"), running, 0.0)
+    submit(admission, account("big"), running, 0.0)
     waiting = [
         ticket("big", 50, 100.0),
         ticket("big", 50, 90.0),
@@ -49,7 +49,7 @@
         ticket("big", 0, 300.0),
     ]
     for item in waiting:
-        assert arrive(admission, account(item.account), item, 1.0) is None
+        assert submit(admission, account(item.account), item, 1.0) is None
     order = []
     current = running
     while True:
@@ -66,24 +66,24 @@
     admission = Admission(in_flight_limit=4, queue_limit=20, mean_seconds=0.01)
     running = [ticket("big") for _ in range(4)]
     for item in running:
-        arrive(admission, account("big"), item, 0.0)
+        submit(admission, account("big"), item, 0.0)
     waiting = [ticket("big", deadline=10.0) for _ in range(10)]
     for item in waiting:
-        arrive(admission, account("big"), item, 1.0)
+        submit(admission, account("big"), item, 1.0)
     small = ticket("small", deadline=1000.0)
-    arrive(admission, account("small"), small, 2.0)
+    submit(admission, account("small"), small, 2.0)
     assert finish(admission, running[0], 3.0) == [small]
 
 
 def test_hopeless_requests_are_refused_at_once_with_a_time() -> None:
     admission = Admission(in_flight_limit=1, queue_limit=2, mean_seconds=2.0)
-    arrive(admission, account(), ticket(), 0.0)
-    hopeless = arrive(admission, account(), ticket(deadline=1.0), 0.0)
+    submit(admission, account(), ticket(), 0.0)
+    hopeless = submit(admission, account(), ticket(deadline=1.0), 0.0)
     assert hopeless is not None
     assert hopeless.code is ResultCode.DEADLINE_UNREACHABLE
     for _ in range(2):
-        assert arrive(admission, account(), ticket(), 0.5) is None
-    full = arrive(admission, account(), ticket(), 0.5)
+        assert submit(admission, account(), ticket(), 0.5) is None
+    full = submit(admission, account(), ticket(), 0.5)
     assert full is not None
     assert full.code is ResultCode.QUEUE_FULL
     assert full.retry_after
@@ -97,7 +97,7 @@
         for step in range(200):
             if rng.random() < 0.6:
                 item = ticket(rng.choice("abc"), rng.choice([0, 50]), step + 100.0)
-                if arrive(admission, account(item.account), item, float(step)) is None:
+                if submit(admission, account(item.account), item, float(step)) is None:
                     open_tickets.append(item)
             elif open_tickets:
                 finish(admission, open_tickets.pop(rng.randrange(len(open_tickets))), step + 0.5)
--- a/tests/routing/test_forwarding.py
+++ b/tests/routing/test_forwarding.py
@@ -14,7 +14,7 @@
     RouteRule,
     TrafficConfiguration,
 )
-from ledgeladder.routing.event_stream import EventBuffer, EventOrder, accept_event, take_events
+from ledgeladder.routing.event_stream import EventBuffer, EventOrder, accept_event, accept_events
 from ledgeladder.routing.forwarding_table import (
     ForwardedUpstream,
     SuspectedDomains,
@@ -180,7 +180,7 @@
     """Guards against events that count as forwarded but are dropped."""
     order = EventOrder(last_id=4)
     events = EventBuffer().feed(b"id: 5\ndata: a\n\nid: 7\ndata: c\n\n")
-    accepted, fault = take_events(order, events)
+    accepted, fault = accept_events(order, events)
     assert accepted == [b"id: 5\ndata: a\n\n"]
     assert order.last_id == 5
     assert fault == "event 7 after 5"
--- a/tests/routing/test_session.py
+++ b/tests/routing/test_session.py
@@ -113,5 +113,5 @@
 
 
 def test_catches_a_missing_attempt_check(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(session_module, "_judge", lambda session, frame: Verdict.ACCEPTED)
+    monkeypatch.setattr(session_module, "_evaluate", lambda session, frame: Verdict.ACCEPTED)
     assert any(run_bag(seed) != list(range(30)) for seed in range(20))
--- a/tests/routing/test_wait_queue.py
+++ b/tests/routing/test_wait_queue.py
@@ -12,27 +12,29 @@
 import pytest
 
 from ledgeladder.routing.wait_queue import (
-    PATIENCE_SHARE,
+    MAX_WAIT_SHARE,
     WaitingRequest,
     WaitQueue,
-    enter,
-    leave,
-    next_to_go,
-    reading_seconds,
-    wait_until,
+    enqueue,
+    next_request,
+    prefill_seconds,
+    remove_request,
+    wait_deadline,
 )
 
 from .sample_site import PROFILE
 
 
 def queue(most_requests: int = 10, most_bytes: int = 1000) -> WaitQueue:
-    return WaitQueue(most_requests=most_requests, most_bytes=most_bytes)
+    return WaitQueue(max_requests=most_requests, max_bytes=most_bytes)
 
 
 def put(
     held: WaitQueue, *, size: int = 0, is_resumed: bool = False, rank: int = 1
 ) -> WaitingRequest | None:
-    return enter(held, size=size, pace=lambda: 0.0, is_resumed=is_resumed, rank=lambda: rank)
+    return enqueue(
+        held, size=size, release_interval=lambda: 0.0, is_resumed=is_resumed, rank=lambda: rank
+    )
 
 
 def test_cut_streams_go_first_then_the_urgent_then_who_came_first() -> None:
@@ -46,19 +48,21 @@
     }
     names = {request.ticket: name for name, request in entered.items() if request}
     order = []
-    while (request := next_to_go(held)) is not None:
+    while (request := next_request(held)) is not None:
         order.append(names[request.ticket])
-        leave(held, request)
+        remove_request(held, request)
     assert order == ["cut", "urgent", "usual", "usual again", "late"]
 
 
 def test_rank_is_asked_when_the_document_is_there() -> None:
     held = queue()
     ranks = {"a": 5, "b": 4}
-    first = enter(held, size=0, pace=lambda: 0.0, is_resumed=False, rank=lambda: ranks["a"])
-    enter(held, size=0, pace=lambda: 0.0, is_resumed=False, rank=lambda: ranks["b"])
+    first = enqueue(
+        held, size=0, release_interval=lambda: 0.0, is_resumed=False, rank=lambda: ranks["a"]
+    )
+    enqueue(held, size=0, release_interval=lambda: 0.0, is_resumed=False, rank=lambda: ranks["b"])
     ranks["a"] = 0
-    assert next_to_go(held) is first
+    assert next_request(held) is first
 
 
 def test_what_waits_is_bounded_in_number_and_bytes() -> None:
@@ -78,34 +82,34 @@
     for _ in range(5000):
         if inside and rng.random() < 0.5:
             request = inside.pop(rng.randrange(len(inside)))
-            leave(held, request)
-            leave(held, request)
+            remove_request(held, request)
+            remove_request(held, request)
         else:
             entered = put(held, size=rng.randrange(300))
             if entered is not None:
                 inside.append(entered)
-        assert held.held_bytes == sum(item.size for item in inside) <= 5000
+        assert held.queued_bytes == sum(item.size for item in inside) <= 5000
         assert len(held.waiting) == len(inside) <= 50
 
 
 @pytest.mark.parametrize(
     ("patience", "expected"),
-    [(20.0, 100.7), (0.6, 100.0 + 0.6 * PATIENCE_SHARE), (0.0, 100.0), (None, 100.7)],
+    [(20.0, 100.7), (0.6, 100.0 + 0.6 * MAX_WAIT_SHARE), (0.0, 100.0), (None, 100.7)],
 )
 def test_waits_until_the_box_is_up_or_half_of_the_time_is_over(
     patience: float | None, expected: float
 ) -> None:
-    until = wait_until(arrived_at=100.0, patience=patience, served_at=100.7)
+    until = wait_deadline(arrived_at=100.0, timeout=patience, served_at=100.7)
     assert until == pytest.approx(expected)
 
 
 def test_nobody_waits_for_a_box_that_should_have_been_up() -> None:
-    assert wait_until(arrived_at=100.0, patience=20.0, served_at=99.0) < 100.0
+    assert wait_deadline(arrived_at=100.0, timeout=20.0, served_at=99.0) < 100.0
 
 
 def test_release_adds_one_unread_prompt_of_a_box_at_a_time() -> None:
     """The slowest cards read 700 tokens in some tens of milliseconds, so 7 requests take 0.2 s."""
     slowest = max(card.prefill_factor for card in PROFILE.cards.values())
-    seconds = reading_seconds(PROFILE, 700)
+    seconds = prefill_seconds(PROFILE, 700)
     assert seconds == pytest.approx(700 / PROFILE.prefill_tokens_per_s * slowest)
-    assert reading_seconds(PROFILE, 0) == 0.0
+    assert prefill_seconds(PROFILE, 0) == 0.0
