--- a/src/ledgeladder/routing/admission.py
+++ b/src/ledgeladder/routing/admission.py
@@ -1,11 +1,12 @@
-"""Admission: limits of client accounts, a bounded queue, and refusals that say when to come back.
-
-Each box enforces an equal share of an account's limits, so the shares sum to at most the limit
-also while boxes are down or cut off; the price is that a share is not moved to where the demand
-is. An account with fewer requests allowed in progress than there are boxes gets one on each. A
-request waits in the queue only if it can still be answered in time; order is by priority, then by
-how much the account has in progress here, then by deadline, so one large account cannot starve a
-small one of the same priority.
+"""Admission control: limits of client accounts, a bounded queue, and refusals with a retry time.
+
+Each box enforces an equal share of an account's limits, so the shares sum to at most the limit even
+while boxes are down or partitioned. Shares don't follow demand. An account that is allowed fewer
+concurrent requests than there are boxes gets one on each.
+
+A request is queued only if it can still be answered before its deadline. The queue is ordered by
+priority, then by the account's requests in progress here, then by deadline, so a large account
+cannot starve a small one of the same priority.
 """
 
 from __future__ import annotations
@@ -21,30 +22,30 @@
     from ..model import ClientAccount
 
 BURST_SECONDS: Final = 1.0
-"""A rate may be used up this far ahead."""
+"""Burst size, as the time in which the rate refills it."""
 
 DURATION_GAIN: Final = 0.1
-"""Weight of a new duration in the mean."""
+"""Weight of a new duration in the moving average."""
 
 DEFAULT_RANK: Final = 50
 """Rank of a request without a priority."""
 
 
 class AccountUse(msgspec.Struct, kw_only=True):
-    """What one account uses on this box."""
+    """Usage of one account on this box."""
 
     in_flight: int = 0
     """Requests admitted and not finished."""
 
     tokens: float = math.inf
-    """Requests that may start now under the rate; a new account starts with a full burst."""
+    """Tokens of the rate limiter; a new account starts with a full burst."""
 
     refilled_at: float = 0.0
-    """When `tokens` was last brought up to date."""
+    """When `tokens` was last refilled, on the monotonic clock."""
 
 
 class Ticket(msgspec.Struct, kw_only=True, eq=False):
-    """One request that waits or is in progress."""
+    """One request that is waiting or in progress."""
 
     account: str
     """Client account."""
@@ -53,41 +54,41 @@
     """Rank of its priority, 0 first."""
 
     deadline: float
-    """When it must be answered, on the monotonic clock."""
+    """Deadline of its answer, on the monotonic clock."""
 
     admitted: bool = False
-    """True once it may go on."""
+    """True once it is admitted."""
 
     arrived_at: float = 0.0
-    """When it arrived."""
+    """When it arrived, on the monotonic clock."""
 
     admitted_at: float = 0.0
-    """When it was admitted."""
+    """When it was admitted, on the monotonic clock."""
 
 
 class Admission(msgspec.Struct, kw_only=True):
     """Admission state of one box."""
 
     in_flight_limit: int
-    """Most requests in progress."""
+    """Maximum number of requests in progress."""
 
     queue_limit: int
-    """Most requests that wait."""
+    """Maximum number of waiting requests."""
 
     boxes: int = 1
-    """Entry boxes among which limits are shared, this one included."""
+    """Number of entry boxes that share the limits, including this one."""
 
     in_flight: int = 0
     """Requests in progress."""
 
     waiting: list[Ticket] = msgspec.field(default_factory=list)
-    """Requests that wait, in order of arrival."""
+    """Waiting requests, in order of arrival."""
 
     accounts: dict[str, AccountUse] = msgspec.field(default_factory=dict)
-    """Use by account."""
+    """Usage by account."""
 
     mean_seconds: float = 0.5
-    """Mean duration of a request."""
+    """Mean duration of a request, in seconds."""
 
 
 def submit(
@@ -98,7 +99,7 @@
     Args:
         admission: The state.
         account: Its client account.
-        ticket: The request; `admitted` tells whether it may go on at once.
+        ticket: The request; its `admitted` is set if it is admitted at once.
         now: Monotonic time in seconds.
 
     Returns:
@@ -165,7 +166,7 @@
 
 
 def finish(admission: Admission, ticket: Ticket, now: float) -> list[Ticket]:
-    """Note that a request ended, or that a waiting one was given up.
+    """Record that a request ended, or that a waiting one was canceled.
 
     Args:
         admission: The state.
@@ -173,7 +174,7 @@
         now: Monotonic time in seconds.
 
     Returns:
-        Waiting requests that are admitted in its place.
+        Waiting requests that are now admitted.
     """
     if not ticket.admitted:
         if ticket in admission.waiting:
@@ -185,10 +186,10 @@
     admission.mean_seconds += DURATION_GAIN * (duration - admission.mean_seconds)
     released: list[Ticket] = []
     while admission.waiting and admission.in_flight < admission.in_flight_limit:
-        following = min(admission.waiting, key=lambda item: _order(admission, item))
-        admission.waiting.remove(following)
-        _admit(admission, following, now)
-        released.append(following)
+        next_ticket = min(admission.waiting, key=lambda item: _order(admission, item))
+        admission.waiting.remove(next_ticket)
+        _admit(admission, next_ticket, now)
+        released.append(next_ticket)
     return released
 
 
--- a/src/ledgeladder/routing/event_stream.py
+++ b/src/ledgeladder/routing/event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events, passed on whole: a broken one never reaches the caller."""
+"""Splits server-sent event streams, so that only complete events in order are forwarded."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 import msgspec
 
 EVENT_LIMIT_BYTES: Final = 1024 * 1024
-"""Longest event that is waited for; a longer one ends its run."""
+"""Maximum size of an event; a larger one ends its attempt."""
 
 _END: Final = re.compile(rb"\r\n\r\n|\n\n|\r\r")
 _ID: Final = re.compile(rb"(?:^|\n|\r)id: ?(\d+)")
 
 
 class StreamEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """One whole event."""
+    """One complete event."""
 
     event_id: int | None
     """Its id, or None if it has none."""
 
     data: bytes
-    """The event as it was received, with the empty line that ends it."""
+    """The event as received, including the empty line that ends it."""
 
 
 class EventBuffer(msgspec.Struct, kw_only=True):
-    """Cuts the bytes of one run into whole events."""
+    """Splits the bytes of one attempt into complete events."""
 
     pending: bytes = b""
-    """Bytes of an event that is not complete."""
+    """Bytes of the incomplete event at the end."""
 
     def feed(self, part: bytes) -> list[StreamEvent]:
-        r"""Take in bytes and return the events that became complete.
+        r"""Add bytes and return the events that they complete.
 
         Args:
             part: Bytes from the upstream.
 
         Returns:
-            Whole events in order.
+            Complete events in order.
 
         Raises:
-            ValueError: If an event grows too long.
+            ValueError: If an event exceeds `EVENT_LIMIT_BYTES`.
 
         >>> buffer = EventBuffer()
         >>> buffer.feed(b"id: 1\ndata: a\n")
@@ -64,28 +64,27 @@
 
 
 class EventOrder(msgspec.Struct, kw_only=True):
-    """Position of the caller in a stream, over all of its runs."""
+    """Position of the caller in a stream, across all of its attempts."""
 
     last_id: int | None
     """Id of the last event that the caller has; None before the first."""
 
     delivered: int = 0
-    """Events that were passed on."""
+    """Number of forwarded events."""
 
 
 def accept_event(order: EventOrder, event: StreamEvent) -> bool | None:
-    """Judge the next event of a run.
+    """Decide whether to forward the next event of an attempt.
 
-    Ids count up by one. The first event that the caller gets may have any; an event without an id
-    is always passed on, since nothing tells whether the caller has it.
+    Ids ascend by one from that of the first event. An event without an id is always forwarded.
 
     Args:
-        order: Position of the caller, which is moved.
+        order: Position of the caller, which is advanced.
         event: The event.
 
     Returns:
-        True if it is the next one, False if the caller has it already, None if one is missing in
-        between, so that the run cannot be used.
+        True if it is the next event, False if it is a duplicate, None if an event is missing before
+        it, in which case the attempt must not be used.
     """
     if event.event_id is None:
         order.delivered += 1
@@ -101,15 +100,15 @@
 
 
 def accept_events(order: EventOrder, events: list[StreamEvent]) -> tuple[list[bytes], str]:
-    """Judge the events of one part.
+    """Select the events of one chunk that are forwarded.
 
     Args:
-        order: Position of the caller, which is moved.
+        order: Position of the caller, which is advanced.
         events: Events in order.
 
     Returns:
-        The events to pass on, also those before one that cannot be used, since the position counts
-        them already; and what is wrong with the first that cannot be used, or an empty text.
+        The events to forward, including those before a gap, which the position already counts; and
+        a description of the gap, or an empty text.
     """
     accepted: list[bytes] = []
     for event in events:
--- a/src/ledgeladder/routing/load_sharing.py
+++ b/src/ledgeladder/routing/load_sharing.py
@@ -1,7 +1,7 @@
-"""How often entry boxes tell what their requests take, and how long it is believed.
+"""Intervals of load reports between entry boxes and control boxes.
 
-Each tells one control box. Control boxes add up what they were told, tell each other these shares,
-and tell the sum to the entry boxes that report to them.
+Each entry box reports its load to one control box. Control boxes add up these reports, exchange the
+partial sums, and send the total to their entry boxes.
 """
 
 from __future__ import annotations
@@ -9,31 +9,28 @@
 from typing import Final
 
 MIN_REPORT_SECONDS: Final = 0.25
-"""Shortest time between two reports: about the time to a first event under load."""
+"""Minimum time between two reports."""
 
 SECONDS_PER_ENTRY: Final = 0.01
-"""Added for each entry box, so that a control box takes 100 reports a second at most."""
+"""Interval per entry box, which limits a control box to 100 reports a second."""
 
 LOAD_BYTES_PER_SECOND: Final = 8000.0
-"""Bytes of loads that an entry box is told a second at most, half of the 16 KB that control may
-take. Up to 1,000 upstreams the other bounds hold; 3,000 are told every 1.5 s."""
+"""Maximum rate of load totals sent to an entry box; half of the bandwidth reserved for control."""
 
 LOAD_VALID_SECONDS: Final = 3.0
-"""How long a report counts: over three of the longest intervals of today's sizes, which is 0.84 s
-with 84 entry boxes and one control box left."""
+"""How long a report is valid; several times the longest interval, to tolerate lost reports."""
 
 
 MAX_REPORT_SECONDS: Final = 1.0
-"""Longest time between two reports that say the same: three are then believed at any moment. Boxes
-at rest send a quarter of the messages that way."""
+"""Maximum time between two reports; unchanged loads are repeated only this often."""
 
 
 def is_report_due(changed: bool, seconds: float) -> bool:
-    """Tell whether loads are to be told now.
+    """Return whether a load report is due.
 
     Args:
-        changed: True if they differ from those told last.
-        seconds: Time since then.
+        changed: Whether the loads differ from the last report.
+        seconds: Time since the last report.
 
     >>> is_report_due(True, 0.25), is_report_due(False, 0.25), is_report_due(False, 1.0)
     (True, False, True)
@@ -45,11 +42,11 @@
     """Return the time between two reports, in seconds.
 
     Args:
-        entries: Entry boxes of the whole system.
-        controls: Control boxes that they report to, each to one of them.
-        load_bytes: Length of the loads of all upstreams, for whoever tells them.
+        entries: Number of all entry boxes.
+        controls: Number of control boxes among which the entry boxes are spread.
+        load_bytes: Size of the total of all upstreams, for its sender.
 
-    >>> report_interval(8, 3), load_interval(410, 8), report_interval(300, 6, 12_000)
+    >>> report_interval(8, 3), report_interval(410, 8), report_interval(300, 6, 12_000)
     (0.25, 0.5125, 1.5)
     """
     by_entries = SECONDS_PER_ENTRY * entries / max(1, controls)
--- a/src/ledgeladder/routing/pace.py
+++ b/src/ledgeladder/routing/pace.py
@@ -1,4 +1,4 @@
-"""Finding a stalled route by its own pace in place of one fixed time-out."""
+"""Detects stalled routes with a timeout that adapts to their pace."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 """Weight of a new gap in the mean, as in TCP's round-trip estimate (RFC 6298)."""
 
 DEVIATION_GAIN: Final = 0.25
-"""Weight of a new deviation."""
+"""Weight of a new deviation in the mean deviation."""
 
 STALL_DEVIATIONS: Final = 6.0
 """Deviations above the mean at which a gap counts as a stall."""
 
 STALL_FACTOR: Final = 3.0
-"""A stall is at least this many times the mean gap."""
+"""Minimum stall, as a multiple of the mean gap."""
 
 MIN_STALL_SECONDS: Final = 0.25
-"""Shorter gaps are never called a stall: garbage collection and scheduling cause those."""
+"""Minimum stall; garbage collection and scheduling cause shorter gaps."""
 
 PROBE_FACTOR: Final = 5.0
-"""A probe may take this many times the mean of answered ones."""
+"""Probe timeout, as a multiple of the mean time of answered probes."""
 
 MIN_PROBE_SECONDS: Final = 0.4
-"""Least time that a probe may take where the caller names none."""
+"""Default minimum probe timeout."""
 
 MAX_PROBE_SECONDS: Final = 2.0
-"""Most time that a probe may take where the caller names none."""
+"""Default maximum probe timeout."""
 
 MAX_LENIENCY: Final = 16.0
-"""Most that false alarms can stretch the time."""
+"""Maximum factor by which false alarms extend the stall timeout."""
 
 LENIENCY_DECAY: Final = 0.95
-"""What each gap without an alarm leaves of that stretch."""
+"""Factor by which each gap without an alarm reduces the leniency."""
 
 MAX_STALL_SECONDS: Final = 5.0
-"""Longer gaps are always called a stall."""
+"""Maximum stall timeout."""
 
 
 class Pace(msgspec.Struct, kw_only=True):
@@ -50,14 +50,14 @@
     """Mean deviation from it."""
 
     leniency: float = 1.0
-    """Raised after a false alarm."""
+    """Factor on the stall timeout, raised after a false alarm."""
 
     floor: float = MIN_STALL_SECONDS
-    """Shorter gaps are never called a stall, in seconds."""
+    """Minimum stall timeout, in seconds."""
 
 
 def record_gap(pace: Pace, gap: float) -> None:
-    """Take one gap into account."""
+    """Update the estimate with one gap, in seconds."""
     pace.leniency = max(1.0, pace.leniency * LENIENCY_DECAY)
     if pace.mean == 0.0:
         pace.mean = gap
@@ -68,7 +68,7 @@
 
 
 def stall_timeout(pace: Pace) -> float:
-    """Return the gap, in seconds, from which on a route counts as stalled."""
+    """Return the gap after which a route counts as stalled, in seconds."""
     if pace.mean == 0.0:
         return MAX_STALL_SECONDS
     expected = max(pace.mean * STALL_FACTOR, pace.mean + STALL_DEVIATIONS * pace.deviation)
@@ -81,21 +81,21 @@
     floor: float = MIN_PROBE_SECONDS,
     ceiling: float = MAX_PROBE_SECONDS,
 ) -> float:
-    """Return how long a probe may take, in seconds, given how long answered ones took.
+    """Return the timeout of a probe, in seconds.
 
     Args:
         pace: Times of answered probes.
-        floor: Least time, in seconds.
-        ceiling: Most time, in seconds.
+        floor: Minimum timeout, in seconds.
+        ceiling: Maximum timeout, in seconds.
 
     Returns:
-        At least the floor, so that a quick neighbourhood does not make a busy engine look dead; at
-        most the ceiling, so that a dead one is replaced in time.
+        The timeout. The floor tolerates busy engines where most answer quickly; the ceiling bounds
+        the time until a lost engine is replaced.
     """
     expected = max(pace.mean * PROBE_FACTOR, pace.mean + STALL_DEVIATIONS * pace.deviation)
     return min(max(expected, floor), ceiling)
 
 
 def record_false_alarm(pace: Pace) -> None:
-    """Wait longer from now on, since every stage turned out to be alive."""
+    """Double the leniency after a stall in which every stage was alive."""
     pace.leniency = min(pace.leniency * 2, MAX_LENIENCY)
--- a/src/ledgeladder/routing/session.py
+++ b/src/ledgeladder/routing/session.py
@@ -1,9 +1,8 @@
-"""One request's way through its stages, as a state machine that trusts no frame.
+"""State machine of one request that validates every token frame.
 
-Each token comes with a receipt: the session, the attempt, the position, and the spans of layers
-that were run. A token is accepted only if it is the next position of the current attempt and its
-receipt covers every layer once, in order, on the stages of the route. Everything else is counted
-and dropped, so a late, doubled, reordered or foreign frame never reaches the caller.
+A token is accepted only if it has the next position of the current attempt and its receipt covers
+every layer once, in order, on the stages of the route. Other frames are counted and dropped, so a
+late, duplicate, reordered or foreign frame never reaches the caller.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 
 
 class ReceiptStage(msgspec.Struct, frozen=True, array_like=True):
-    """One line of a receipt: which upstream ran which layers."""
+    """One entry of a receipt: an upstream and the span of layers that it ran."""
 
     upstream: str
     first: int
@@ -26,7 +25,7 @@
 
 
 class TokenFrame(msgspec.Struct, frozen=True, kw_only=True, tag="token", tag_field="type"):
-    """One token as the head of a route reports it."""
+    """One token as reported by the head of a route."""
 
     session: str
     attempt: int
@@ -35,11 +34,11 @@
     text: str
     receipt: tuple[ReceiptStage, ...]
     last: bool = False
-    """True if the model ended its answer with this token."""
+    """True if this is the last token of the model's answer."""
 
 
 class Verdict(StrEnum):
-    """What became of a frame."""
+    """Result of validating a frame."""
 
     ACCEPTED = "accepted"
     FOREIGN_SESSION = "foreign-session"
@@ -54,16 +53,16 @@
     """State of one request."""
 
     session_id: str
-    """Random id, unique among all requests."""
+    """Random unique id."""
 
     layers: int
     """Number of layers of the model."""
 
     max_tokens: int
-    """Most tokens of the answer."""
+    """Maximum number of tokens in the answer."""
 
     attempt: int = 0
-    """Number of the current attempt; each raise fences off the earlier ones at every stage."""
+    """Number of the current attempt; raising it fences off earlier attempts at every stage."""
 
     route: Route | None = None
     """Route of the current attempt."""
@@ -75,10 +74,10 @@
     """Texts of the accepted tokens."""
 
     ended: bool = False
-    """True once the model ended or the bound was reached."""
+    """True once the answer is complete or has `max_tokens`."""
 
     finish_reason: str = ""
-    """`stop` or `length` once ended."""
+    """`stop` or `length` once ended; empty before."""
 
     dropped: Counter[Verdict] = msgspec.field(default_factory=Counter)
     """Frames that were dropped, by verdict."""
@@ -100,14 +99,14 @@
 
 
 def accept_token(session: Session, frame: TokenFrame) -> Verdict:
-    """Judge one frame and take its token in if it is the next one.
+    """Validate one frame and append its token if it is the next one.
 
     Args:
         session: The session.
         frame: The frame.
 
     Returns:
-        The verdict; anything but ACCEPTED left the session as it was.
+        The verdict; for any but `ACCEPTED` only the counter of dropped frames changes.
     """
     verdict = _evaluate(session, frame)
     if verdict is not Verdict.ACCEPTED:
--- a/src/ledgeladder/routing/stream_patience.py
+++ b/src/ledgeladder/routing/stream_patience.py
@@ -1,8 +1,7 @@
-"""How long silence of a stream is borne before something is done about it.
+"""Timeouts for stalled streams.
 
-All times follow from what the route promises its callers and from what this box observes: how
-quickly engines accept a connection and how soon another path brings a first event. A replacement
-that comes within the longest pause that callers accept is not noticed by them.
+They follow from the targets of the route and from the probe and first-event times that this box
+observes. A stream that moves to another path within the gap target shows callers no pause.
 """
 
 from __future__ import annotations
@@ -12,67 +11,68 @@
 import msgspec
 
 FIRST_PROBE_SHARE: Final = 0.7
-"""Part of the time to the first event that callers expect, after which the engines of a path are
-probed: the rest is for the probe and for another path."""
+"""Part of the target latency after which the engines of a path are probed; the rest is for the
+probe and for another path."""
 
 FIRST_TIMEOUT_FACTOR: Final = 2.0
-"""How many times that time a run may take to its first event although its engines answer."""
+"""Maximum time to the first event while engines answer probes, as a multiple of the target
+latency."""
 
 MIN_GAP_SHARE: Final = 0.25
-"""Least part of the pause that callers accept, after which engines are probed. Sooner would probe
-at every pass of an engine that reads a prompt."""
+"""Minimum part of the gap target before engines are probed; normal gaps during prefill are about as
+long."""
 
 MAX_GAP_SHARE: Final = 0.35
-"""Most of it: a probe, a new run and the reading of its prompt beside others that were lost with it
-take the rest."""
+"""Maximum part of the gap target before engines are probed; the probe, a new attempt and its
+prefill take the rest."""
 
 SLOWDOWN_QUERY_SHARE: Final = 0.7
-"""Part of that pause after which engines that accept connections are asked how slowly they work."""
+"""Part of the gap target after which engines that answer probes are queried for their slowdown."""
 
 LINK_AVOIDANCE_FACTOR: Final = 1.5
-"""How many times that pause a path stands still before the links that it passes are avoided: longer
-than a busy engine takes, which reads prompts between two passes."""
+"""Stall after which the links of a path are avoided, as a multiple of the gap target; longer than a
+busy engine takes to prefill other prompts."""
 
 GAP_TIMEOUT_FACTOR: Final = 5.0
-"""How many times that pause a run that has begun may stand still although its engines answer."""
+"""Maximum stall of a started attempt while engines answer probes, as a multiple of the gap
+target."""
 
 DEFAULT_GAP_SHARE: Final = 0.5
-"""Pause that is taken as accepted where the route names none, as a part of the time to the first
-event that callers expect."""
+"""Default gap target, as a part of the target latency."""
 
 
 class StreamTimeouts(msgspec.Struct, frozen=True, kw_only=True):
-    """Times of silence, in seconds, after which something is done."""
+    """Stall durations that trigger an action, in seconds."""
 
     first_probe: float
-    """Engines are probed if no head has come."""
+    """Engines are probed if no response head has arrived."""
 
     first_timeout: float
-    """A run without a head is given up although its engines answer."""
+    """An attempt without a response head is given up although its engines answer."""
 
     gap_probe: float
-    """Engines are probed if no event follows; the stream's own pace may allow more."""
+    """Engines are probed if no event follows; the stream's own pace may allow a longer gap."""
 
     slowdown_query: float
-    """Engines that answer are asked how slowly they work."""
+    """Engines that answer are queried for their slowdown."""
 
     link_avoidance: float
-    """Links between failure domains on the path are avoided for a while."""
+    """Links between failure domains on the path are avoided."""
 
     gap_timeout: float
-    """A run that has begun is given up although its engines answer."""
+    """A started attempt is given up although its engines answer."""
 
 
 def stream_timeouts(
     *, target_latency: float, gap_target: float, probe_seconds: float, first_seconds: float
 ) -> StreamTimeouts:
-    """Work out the times for one stream.
+    """Compute the timeouts of one stream.
 
     Args:
-        target_latency: Time to the first event that callers expect.
-        gap_target: Longest pause that they accept; 0 if the route names none.
-        probe_seconds: How long a probe may take.
-        first_seconds: How long another path is likely to take to its first event; 0 if not known.
+        target_latency: Target time to the first event, in seconds.
+        gap_target: Maximum gap between events that callers accept, in seconds; 0 for the default.
+        probe_seconds: Timeout of a probe.
+        first_seconds: Expected time to the first event on another path; 0 if unknown.
 
     >>> stream_timeouts(
     ...     target_latency=0.5, gap_target=0.2, probe_seconds=0.04, first_seconds=0.09
--- a/src/ledgeladder/routing/wait_queue.py
+++ b/src/ledgeladder/routing/wait_queue.py
@@ -1,15 +1,11 @@
-"""Requests that wait until they can be served in a moment that is near.
-
-Two patterns. All boxes lose their power at once and come back within a second: callers whose
-streams were cut connect again as soon as a box listens, which is before it can be sure of its
-document. And upstreams ask for rest, or take no more requests in this second: all copies of a range
-of layers rest for a second, say, while most engines are free. Most callers come back only once, so
-that a refusal ends the request. Held here, they are served a moment later, out of the time that
-they have.
-
-A request waits only while the moment is known to be near and leaves it time to be served; what
-waits is bounded in number and bytes. When the moment has come, streams that were cut go first, then
-the more urgent, then who came first, at the pace at which upstreams take them.
+"""Queues requests that cannot be served yet but will be shortly.
+
+Requests wait after a restart until the box has a current document, and while all suitable upstreams
+back off or are at their rate limit. Many callers retry only once, so a refusal would fail them.
+
+A request waits only if enough of its timeout is left to serve it, and the queue is bounded in
+number and bytes. Requests are released at the rate at which upstreams accept them: interrupted
+streams first, then by priority, then by arrival.
 """
 
 from __future__ import annotations
@@ -24,15 +20,14 @@
     from ..model.traffic import EngineProfile
 
 MAX_WAIT_SHARE: Final = 0.5
-"""Part of the time which a caller has that its request may wait; the rest is for serving it."""
+"""Part of a request's timeout that it may wait; the rest is for serving it."""
 
 DEFAULT_TIMEOUT_SECONDS: Final = 2.0
-"""Time that a caller is taken to have if it names none, about the shortest after which people and
-client libraries give up."""
+"""Assumed timeout of a caller that names none."""
 
 
 class WaitingRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A request that waits."""
+    """A waiting request."""
 
     ticket: int
     """Ascends with each request."""
@@ -41,45 +36,45 @@
     """Bytes of its body."""
 
     release_interval: Callable[[], float]
-    """Returns how long the next one is to wait after this one went on, in seconds."""
+    """Returns the delay between the release of this request and of the next one, in seconds."""
 
     is_resumed: bool
-    """True for a stream that was cut: its caller has part of the answer."""
+    """True for an interrupted stream, whose caller has part of the answer."""
 
     rank: Callable[[], int | None]
     """Returns its priority, 0 being the most urgent; None while it cannot be served."""
 
 
 class WaitQueue(msgspec.Struct, kw_only=True):
-    """Requests that wait, in the order in which they came."""
+    """Waiting requests, in order of arrival."""
 
     max_requests: int
-    """Most requests that wait at once."""
+    """Maximum number of waiting requests."""
 
     max_bytes: int
-    """Most bytes that their bodies have together."""
+    """Maximum total size of their bodies, in bytes."""
 
     waiting: dict[int, WaitingRequest] = msgspec.field(default_factory=dict)
     """Requests by ticket."""
 
     queued_bytes: int = 0
-    """Bytes of their bodies."""
+    """Total size of their bodies, in bytes."""
 
     last_ticket: int = 0
-    """Ticket that was given last."""
+    """Ticket assigned last."""
 
 
 def wait_deadline(*, arrived_at: float, timeout: float | None, served_at: float) -> float:
-    """Return until when a request may wait, on the clock of the arguments.
+    """Return the time until which a request may wait, on the clock of the arguments.
 
     Args:
         arrived_at: When it arrived, in seconds.
-        timeout: How long its caller waits in all, in seconds; None if it does not say.
-        served_at: When it can be served at the latest, as far as the box can know.
+        timeout: Total timeout of its caller, in seconds; None if unknown.
+        served_at: Latest time at which it is expected to be servable.
 
     Returns:
-        The earlier of that and the end of the part of its time that may pass with waiting. It has
-        passed already for a request that must not wait.
+        The earlier of `served_at` and the end of its waiting time. It is in the past for a request
+        that must not wait.
 
     >>> wait_deadline(arrived_at=10.0, timeout=20.0, served_at=11.0)
     11.0
@@ -98,45 +93,45 @@
     is_resumed: bool,
     rank: Callable[[], int | None],
 ) -> WaitingRequest | None:
-    """Let a request wait.
+    """Add a request to the queue.
 
     Args:
         queue: The queue.
         size: Bytes of its body.
-        release_interval: Returns how long the next one is to wait after it went on, in seconds.
-        is_resumed: True for a stream that was cut.
-        rank: Returns its priority; None while it cannot be served.
+        release_interval: Returns the delay until the next release, in seconds.
+        is_resumed: True for an interrupted stream.
+        rank: Returns its priority, 0 being the most urgent; None while it cannot be served.
 
     Returns:
-        The request, which must `remove_request` in the end; None if there is no room.
+        The request, to be passed to `remove_request` in the end; None if the queue is full.
     """
     is_full = len(queue.waiting) >= queue.max_requests
     if is_full or queue.queued_bytes + size > queue.max_bytes:
         return None
     queue.last_ticket += 1
-    entered = WaitingRequest(
+    request = WaitingRequest(
         ticket=queue.last_ticket,
         size=size,
         release_interval=release_interval,
         is_resumed=is_resumed,
         rank=rank,
     )
-    queue.waiting[entered.ticket] = entered
+    queue.waiting[request.ticket] = request
     queue.queued_bytes += size
-    return entered
+    return request
 
 
 def remove_request(queue: WaitQueue, request: WaitingRequest) -> None:
-    """Take a request out, whether it goes on, was refused or lost its caller; once or twice."""
+    """Remove a request that was released, refused or canceled; further calls do nothing."""
     if queue.waiting.pop(request.ticket, None) is not None:
         queue.queued_bytes -= request.size
 
 
 def next_request(queue: WaitQueue) -> WaitingRequest | None:
-    """Return who goes first: who was cut, then the more urgent, then who came first.
+    """Return the next request: interrupted streams first, then by priority, then by arrival.
 
     Returns:
-        None if nobody can be served.
+        None if no request can be served.
     """
     ranked = [
         (not request.is_resumed, rank, request.ticket)
@@ -147,14 +142,13 @@
 
 
 def prefill_seconds(profile: EngineProfile, prompt_tokens: int) -> float:
-    """Return how long engines take to read a prompt, which a box lets pass before the next one.
+    """Return the prefill time of a prompt, in seconds.
 
-    A box then adds one unread prompt at a time to what engines have to read. All boxes together
-    stay below what the engines read as long as there are no more boxes than engines read side by
-    side; beyond that the load of others, which is told by then, spreads the rest.
+    A box waits for this time between two releases, so it adds one prompt at a time to the engines'
+    prefill work.
 
     Args:
-        profile: Figures of the engines; their slowest kind of card counts.
+        profile: Performance of the engines; the slowest kind of card counts.
         prompt_tokens: Tokens of the prompt.
     """
     factor = max((card.prefill_factor for card in profile.cards.values()), default=1.0)
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Limits, queue order, and refusals that say when to come back."""
+"""Admission limits, queue order, and refusals with a retry time."""
 
 from __future__ import annotations
 
@@ -75,12 +75,12 @@
     assert finish(admission, running[0], 3.0) == [small]
 
 
-def test_hopeless_requests_are_refused_at_once_with_a_time() -> None:
+def test_requests_that_miss_their_deadline_are_refused_with_a_retry_time() -> None:
     admission = Admission(in_flight_limit=1, queue_limit=2, mean_seconds=2.0)
     submit(admission, account(), ticket(), 0.0)
-    hopeless = submit(admission, account(), ticket(deadline=1.0), 0.0)
-    assert hopeless is not None
-    assert hopeless.code is ResultCode.DEADLINE_UNREACHABLE
+    unreachable = submit(admission, account(), ticket(deadline=1.0), 0.0)
+    assert unreachable is not None
+    assert unreachable.code is ResultCode.DEADLINE_UNREACHABLE
     for _ in range(2):
         assert submit(admission, account(), ticket(), 0.5) is None
     full = submit(admission, account(), ticket(), 0.5)
@@ -89,7 +89,7 @@
     assert full.retry_after
 
 
-def test_nothing_leaks_in_random_histories() -> None:
+def test_random_histories_leak_no_slots() -> None:
     for seed in range(200):
         rng = random.Random(seed)
         admission = Admission(in_flight_limit=3, queue_limit=5, mean_seconds=0.1)
--- a/tests/routing/test_session.py
+++ b/tests/routing/test_session.py
@@ -1,4 +1,4 @@
-"""Frames that are late, doubled, reordered or foreign never reach the caller."""
+"""Late, duplicate, reordered or foreign frames never reach the caller."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
 GOOD = route(("a", 0, 4), ("b", 4, 8))
 
 
-def frame(held: Session, at: int, **changes: object) -> TokenFrame:
-    assert held.route is not None
+def frame(session_state: Session, at: int, **changes: object) -> TokenFrame:
+    assert session_state.route is not None
     receipt = tuple(
         ReceiptStage(stage.upstream, stage.span.first, stage.span.end)
-        for stage in held.route.stages
+        for stage in session_state.route.stages
     )
     fields: dict[str, object] = {
-        "session": held.session_id,
-        "attempt": held.attempt,
+        "session": session_state.session_id,
+        "attempt": session_state.attempt,
         "position": at,
         "token": at,
         "text": f"{at} ",
@@ -87,31 +87,31 @@
     assert session.dropped[verdict] == 1
 
 
-def run_bag(seed: int) -> list[int]:
-    """Deliver a bag of frames of several attempts in random order, with doubles."""
+def deliver_shuffled(seed: int) -> list[int]:
+    """Deliver frames of several attempts in random order, with duplicates."""
     rng = random.Random(seed)
     session = started()
-    bag: list[TokenFrame] = []
+    frames: list[TokenFrame] = []
     while not session.ended:
         if rng.random() < 0.1:
             names = rng.sample("abcdef", 2)
             begin_attempt(session, route((names[0], 0, 4), (names[1], 4, 8)))
         position = len(session.tokens) + rng.choice([0, 0, 0, 1, -1])
-        bag.append(frame(session, max(0, position)))
+        frames.append(frame(session, max(0, position)))
         for _ in range(rng.randrange(3)):
-            chosen = rng.choice(bag)
+            chosen = rng.choice(frames)
             if rng.random() < 0.5:
-                bag.remove(chosen)
+                frames.remove(chosen)
             accept_token(session, chosen)
-            bag = bag or [frame(session, len(session.tokens))]
+            frames = frames or [frame(session, len(session.tokens))]
     return session.tokens
 
 
 def test_any_order_of_frames_gives_each_position_once() -> None:
     for seed in range(500):
-        assert run_bag(seed) == list(range(30)), seed
+        assert deliver_shuffled(seed) == list(range(30)), seed
 
 
-def test_catches_a_missing_attempt_check(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_shuffled_delivery_detects_missing_validation(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(session_module, "_evaluate", lambda session, frame: Verdict.ACCEPTED)
-    assert any(run_bag(seed) != list(range(30)) for seed in range(20))
+    assert any(deliver_shuffled(seed) != list(range(30)) for seed in range(20))
--- a/tests/routing/test_stream_patience.py
+++ b/tests/routing/test_stream_patience.py
@@ -1,4 +1,4 @@
-"""Times of silence follow from what callers accept and from what was observed."""
+"""Timeouts of stalled streams follow from the targets of the route and from observed times."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 )
 
 
-def times(gap: float = 0.2, *, probe: float = 0.03, first: float = 0.08) -> StreamTimeouts:
+def build_timeouts(gap: float = 0.2, *, probe: float = 0.03, first: float = 0.08) -> StreamTimeouts:
     return stream_timeouts(
         target_latency=0.5, gap_target=gap, probe_seconds=probe, first_seconds=first
     )
 
 
-def test_replacement_comes_within_the_pause_that_callers_accept() -> None:
-    patience = times()
-    assert patience.gap_probe + 0.03 + 0.08 <= 0.2
+def test_replacement_path_starts_within_the_gap_target() -> None:
+    timeouts = build_timeouts()
+    assert timeouts.gap_probe + 0.03 + 0.08 <= 0.2
 
 
 @pytest.mark.parametrize("first", [0.0, 0.05, 0.1, 0.3, 5.0])
-def test_probes_are_neither_sent_at_every_pass_nor_too_late(first: float) -> None:
-    look = times(first=first).gap_probe
-    assert round(0.2 * MIN_GAP_SHARE, 4) <= look <= round(0.2 * MAX_GAP_SHARE, 4)
+def test_probe_time_stays_within_its_bounds(first: float) -> None:
+    probe_after = build_timeouts(first=first).gap_probe
+    assert round(0.2 * MIN_GAP_SHARE, 4) <= probe_after <= round(0.2 * MAX_GAP_SHARE, 4)
 
 
 @pytest.mark.parametrize("gap", [0.0, 0.05, 0.2, 2.0])
-def test_steps_follow_each_other(gap: float) -> None:
-    patience = times(gap)
+def test_timeouts_are_ordered(gap: float) -> None:
+    timeouts = build_timeouts(gap)
     assert (
         0
-        < patience.gap_probe
-        < patience.slowdown_query
-        < patience.link_avoidance
-        < patience.gap_timeout
+        < timeouts.gap_probe
+        < timeouts.slowdown_query
+        < timeouts.link_avoidance
+        < timeouts.gap_timeout
     )
-    assert 0 < patience.first_probe < patience.first_timeout
+    assert 0 < timeouts.first_probe < timeouts.first_timeout
