--- a/src/ledgeladder/daemons/control/ordering.py
+++ b/src/ledgeladder/daemons/control/ordering.py
@@ -13,7 +13,7 @@
 from ...coordination.commands import OrderCommand, OrderDoneCommand
 from ...coordination.orders import configured_assignment, next_order, pending_orders
 from ...coordination.rests import is_backing_off, record_backoff
-from ...http1 import RestAskedError
+from ...http1 import BackoffRequestedError
 from ...links.messages import FencedOrder
 from ...upstreams.engine import is_live, make_order_request, send_order
 from .. import clock
@@ -91,7 +91,7 @@
         return False
     try:
         return await send_order(client, upstream.address, request) is True
-    except RestAskedError as error:
+    except BackoffRequestedError as error:
         record_backoff(hub.backoffs, upstream.name, error.seconds, clock.now())
         logger.warning(
             "upstream requested back-off",
--- a/src/ledgeladder/daemons/engine_call.py
+++ b/src/ledgeladder/daemons/engine_call.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from ..http1 import connect, raise_for_rest, read_head, read_part, send_request
+from ..http1 import connect, raise_for_backoff, read_head, read_part, send_request
 from ..platform.engine_calls import read_report, report_call
 
 if TYPE_CHECKING:
@@ -26,12 +26,12 @@
 
     Raises:
         AnswerBrokenError: If no whole head comes.
-        RestAskedError: If the engine asks for rest.
+        BackoffRequestedError: If the engine asks for rest.
     """
     headers = [(b"Host", connection.address.encode()), *call.headers]
     await send_request(connection, call.method, call.target, headers, call.body)
     head = await read_head(connection)
-    raise_for_rest(head.status_code, head.headers)
+    raise_for_backoff(head.status_code, head.headers)
     return head
 
 
@@ -49,7 +49,7 @@
     Raises:
         ConnectError: If the engine does not accept a connection.
         AnswerBrokenError: If the answer ends early.
-        RestAskedError: If the engine asks for rest.
+        BackoffRequestedError: If the engine asks for rest.
     """
     connection = await connect(address, source=source, seconds=seconds)
     try:
--- a/src/ledgeladder/daemons/entry/gate.py
+++ b/src/ledgeladder/daemons/entry/gate.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from ...coordination.raft import quorum
-from ...http1 import RestAskedError
+from ...http1 import BackoffRequestedError
 from ...links.messages import FencedOrder, OrderOutcome, TermQuery, TermReply
 from ...routing.upstream_table import is_backing_off, record_backoff
 from ...upstreams.engine import make_order_request, send_order
@@ -87,7 +87,7 @@
         return False
     try:
         return await send_order(context.client, order.address, request) is True
-    except RestAskedError as error:
+    except BackoffRequestedError as error:
         if view is not None:
             record_backoff(view, error.seconds, now())
         return False
--- a/src/ledgeladder/daemons/entry/watching.py
+++ b/src/ledgeladder/daemons/entry/watching.py
@@ -8,7 +8,7 @@
 import anyio
 
 from ...coordination.membership import UpstreamReport, merge_report, watchers
-from ...http1 import RestAskedError
+from ...http1 import BackoffRequestedError
 from ...model import UpstreamKind
 from ...routing.pace import adaptive_probe_timeout, record_gap
 from ...routing.upstream_table import (
@@ -72,7 +72,7 @@
     name = view.upstream.name
     try:
         load = await read_load(context.client, view.upstream.address)
-    except RestAskedError as error:
+    except BackoffRequestedError as error:
         record_backoff(view, error.seconds, now())
         return
     misses[name] = 0 if load is not None else misses.get(name, 0) + 1
--- a/src/ledgeladder/daemons/gateway/slowdown_queries.py
+++ b/src/ledgeladder/daemons/gateway/slowdown_queries.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from ...http1 import AnswerBrokenError, ConnectError, RestAskedError
+from ...http1 import AnswerBrokenError, BackoffRequestedError, ConnectError
 from ...routing.forwarding_table import is_backing_off
 from ...routing.rate_grants import is_limited
 from ..engine_call import fetch_report
@@ -61,7 +61,7 @@
             source=state.settings.box.address,
             seconds=QUERY_TIMEOUT_SECONDS,
         )
-    except RestAskedError as error:
+    except BackoffRequestedError as error:
         record_backoff(state, engine, error.seconds)
         return
     except (AnswerBrokenError, ConnectError) as error:
--- a/src/ledgeladder/daemons/gateway/upstream_call.py
+++ b/src/ledgeladder/daemons/gateway/upstream_call.py
@@ -158,7 +158,7 @@
 ) -> UpstreamConnection:
     address = upstream.registration.address
     if not fresh_connection:
-        pooled = await state.connections.take(address)
+        pooled = await state.connections.acquire(address)
         if pooled is not None:
             return pooled
     try:
@@ -183,5 +183,5 @@
     except BaseException:
         await answer.connection.close()
         raise
-    await state.connections.give_back(answer.connection, answer.facts.keep_alive_seconds)
+    await state.connections.release(answer.connection, answer.facts.keep_alive_seconds)
     return b"".join(parts)
--- a/src/ledgeladder/daemons/registry/http_api.py
+++ b/src/ledgeladder/daemons/registry/http_api.py
@@ -72,7 +72,7 @@
         handler=handle,
         write_problem=write_problem,
         limits=lambda: limits,
-        watches_callers=False,
+        cancels_on_disconnect=False,
     )
 
 
--- a/src/ledgeladder/daemons/registry/order_sending.py
+++ b/src/ledgeladder/daemons/registry/order_sending.py
@@ -10,7 +10,7 @@
 from ...coordination import raft
 from ...coordination.engine_orders import OrderOutcome, record_outcome
 from ...coordination.rests import is_backing_off, record_backoff
-from ...http1 import AnswerBrokenError, ConnectError, RestAskedError, connect
+from ...http1 import AnswerBrokenError, BackoffRequestedError, ConnectError, connect
 from ...links import post_to_all
 from ...links.messages import OrderUpdate
 from ...platform.engine_calls import place_call, read_outcome
@@ -90,7 +90,7 @@
     record_own_calls(rate_granter_of(state), engine.instance, REQUESTS_PER_ORDER)
     try:
         return await _send_order(state, engine, holding, fence)
-    except RestAskedError as error:
+    except BackoffRequestedError as error:
         record_backoff(state.backoffs, engine.instance, error.seconds, clock.now())
         logger.warning(
             "upstream requested back-off",
@@ -105,7 +105,7 @@
     """Query how many orders an engine has started, and send it the next one.
 
     Raises:
-        RestAskedError: If the engine requests back-off.
+        BackoffRequestedError: If the engine requests back-off.
     """
     source = state.settings.box.address
     try:
--- a/src/ledgeladder/http1/__init__.py
+++ b/src/ledgeladder/http1/__init__.py
@@ -1,7 +1,8 @@
-"""HTTP/1.1 over anyio streams with h11, where every byte that passes through must stay as it is."""
+"""HTTP/1.1 over anyio streams with h11, which forwards header fields and bodies unchanged."""
 
 from __future__ import annotations
 
+from .backpressure import BackoffRequestedError, raise_for_backoff, read_backoff, read_rate
 from .client import (
     AnswerBrokenError,
     ConnectError,
@@ -14,7 +15,6 @@
 )
 from .server import Exchange, HttpRequest, HttpSite, serve_http1
 from .sockets import tune_socket
-from .wishes import RestAskedError, raise_for_rest, read_rate, read_rest
 
 __all__ = [
     "AnswerBrokenError",
@@ -23,14 +23,14 @@
     "Exchange",
     "HttpRequest",
     "HttpSite",
-    "RestAskedError",
+    "BackoffRequestedError",
     "UpstreamConnection",
     "connect",
-    "raise_for_rest",
+    "raise_for_backoff",
     "read_head",
     "read_part",
     "read_rate",
-    "read_rest",
+    "read_backoff",
     "send_request",
     "serve_http1",
     "tune_socket",
--- a/src/ledgeladder/http1/client.py
+++ b/src/ledgeladder/http1/client.py
@@ -1,4 +1,4 @@
-"""Calling upstreams over HTTP/1.1: connections, their pool, and answers read event by event."""
+"""HTTP/1.1 client for upstreams: connections, a connection pool, and streamed answers."""
 
 from __future__ import annotations
 
@@ -19,36 +19,36 @@
     from .server import Headers
 
 READ_BYTES: Final = 65536
-"""Most bytes that one read takes."""
+"""Maximum size of a single read."""
 
-ANSWER_HEAD_LIMIT_BYTES: Final = 65536
-"""Longest head of an answer that is accepted."""
+MAX_ANSWER_HEAD_BYTES: Final = 65536
+"""Longest accepted head of an answer."""
 
-KEEP_SECONDS: Final = 4.0
-"""How long a connection is kept for reuse if the upstream does not say for how long it keeps it."""
+DEFAULT_KEEP_ALIVE_SECONDS: Final = 4.0
+"""How long an idle connection is kept if the upstream does not announce its keep-alive timeout."""
 
-KEEP_MARGIN_SECONDS: Final = 1.0
-"""Taken off what the upstream says: a request must not cross the upstream's close."""
+KEEP_ALIVE_MARGIN_SECONDS: Final = 1.0
+"""Subtracted from the announced timeout, so that no request races with the upstream's close."""
 
-IDLE_LIMIT: Final = 16
-"""Connections to one upstream that are kept for reuse."""
+MAX_IDLE_CONNECTIONS: Final = 16
+"""Maximum number of idle connections per upstream."""
 
 
 class ConnectError(Exception):
-    """No connection came up, so nothing was sent."""
+    """The connection could not be opened, so nothing was sent."""
 
     @property
     def is_refusal(self) -> bool:
-        """True if the machine answered that nobody listens there: the process has ended."""
+        """True if the connection was refused, as after the exit of the process."""
         return isinstance(self.__cause__, ConnectionRefusedError)
 
 
 class AnswerBrokenError(Exception):
-    """The connection ended or carried no valid answer after the request may have arrived."""
+    """The connection failed or the answer is invalid; the request may have arrived."""
 
 
 class UpstreamConnection(msgspec.Struct, kw_only=True):
-    """One connection to an upstream; it serves one request at a time."""
+    """Connection to an upstream, used by one request at a time."""
 
     address: str
     """`host:port` of the upstream."""
@@ -57,16 +57,16 @@
     """The connection."""
 
     protocol: h11.Connection
-    """State of the protocol on it."""
+    """Protocol state of the connection."""
 
     keep_until: float = 0.0
-    """Until when it may be reused, on the monotonic clock."""
+    """Time until which the connection may be reused, on the monotonic clock."""
 
     reused: bool = False
-    """True if it has served a request before the current one."""
+    """True if an earlier request used the connection."""
 
     async def close(self) -> None:
-        """Close it; an upstream stops working on the request that it carries."""
+        """Close the connection, which cancels the request on it at the upstream."""
         with anyio.CancelScope(shield=True):
             await self.stream.aclose()
 
@@ -76,14 +76,14 @@
 
     Args:
         address: `host:port` of the upstream.
-        source: IP number that the connection comes from, or None for the system's choice.
-        seconds: Longest time to wait.
+        source: Source IP address; None lets the system choose.
+        seconds: Timeout.
 
     Returns:
         The connection.
 
     Raises:
-        ConnectError: If it does not come up; nothing was sent.
+        ConnectError: If the connection cannot be opened; nothing was sent.
     """
     try:
         with anyio.fail_after(seconds):
@@ -95,24 +95,24 @@
     except OSError as error:
         await stream.aclose()
         raise ConnectError(f"{address}: {type(error).__name__}") from error
-    protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=ANSWER_HEAD_LIMIT_BYTES)
+    protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_ANSWER_HEAD_BYTES)
     return UpstreamConnection(address=address, stream=stream, protocol=protocol)
 
 
 async def send_request(
     connection: UpstreamConnection, method: bytes, target: bytes, headers: Headers, body: bytes
 ) -> None:
-    """Send a request in one write.
+    """Send a request in a single write.
 
     Args:
-        connection: A connection that carries no other request.
-        method: Method.
+        connection: An idle connection.
+        method: HTTP method.
         target: Path and query.
-        headers: Header fields with the length of the body; nothing is added here.
-        body: The body, in full.
+        headers: Header fields, complete with `Host` and the length of the body.
+        body: The whole body.
 
     Raises:
-        AnswerBrokenError: If the connection ended; the request may have arrived.
+        AnswerBrokenError: If the connection failed; the request may have arrived.
     """
     protocol = connection.protocol
     data = protocol.send(h11.Request(method=method, target=target, headers=headers)) or b""
@@ -126,10 +126,10 @@
 
 
 async def read_head(connection: UpstreamConnection) -> h11.Response:
-    """Wait for the head of the answer; interim answers are skipped.
+    """Wait for the head of the answer, skipping informational answers.
 
     Raises:
-        AnswerBrokenError: If none comes.
+        AnswerBrokenError: If the connection ends first or the answer is invalid.
     """
     while True:
         event = await _next_event(connection)
@@ -146,7 +146,7 @@
         The part, or None once the answer is complete.
 
     Raises:
-        AnswerBrokenError: If the answer ends early.
+        AnswerBrokenError: If the answer is truncated or invalid.
     """
     event = await _next_event(connection)
     if isinstance(event, h11.Data):
@@ -174,7 +174,7 @@
 
 
 def _is_readable(connection: UpstreamConnection) -> bool:
-    """Tell whether bytes or an end have arrived on a connection that should be silent."""
+    """Return True if an idle connection has unexpected bytes or was closed by the upstream."""
     raw = connection.stream.extra(SocketAttribute.raw_socket)
     poller = select.poll()
     poller.register(raw.fileno(), select.POLLIN)
@@ -182,52 +182,58 @@
 
 
 class ConnectionPool(msgspec.Struct, kw_only=True):
-    """Connections that wait for another request.
+    """Idle connections for reuse.
 
-    The loss of such a connection cannot be told from the loss of the answer; who sends a request
-    chooses whether that matters.
+    If a reused connection fails, the sender cannot know whether the request was processed. Callers
+    decide whether a request may use the pool.
     """
 
     idle: dict[str, list[UpstreamConnection]] = msgspec.field(default_factory=dict)
-    """Idle connections by address, the most recently used one last."""
+    """Idle connections by address, most recently used last."""
 
-    async def take(self, address: str) -> UpstreamConnection | None:
-        """Take a connection that can carry another request, if there is one.
+    async def acquire(self, address: str) -> UpstreamConnection | None:
+        """Return an idle connection that can be reused, or None.
 
         Args:
             address: `host:port` of the upstream.
         """
-        waiting = self.idle.get(address, [])
-        while waiting:
-            connection = waiting.pop()
+        idle = self.idle.get(address, [])
+        while idle:
+            connection = idle.pop()
             if anyio.current_time() < connection.keep_until and not _is_readable(connection):
                 connection.reused = True
                 return connection
             await connection.close()
         if not self.idle.get(address):
-            # Another request may have given one back while a stale one was being closed.
+            # Another request may have released a connection while a stale one was being closed.
             self.idle.pop(address, None)
         return None
 
-    async def give_back(self, connection: UpstreamConnection, keep_seconds: float | None) -> None:
-        """Keep a connection whose answer was read in full, or close it.
+    async def release(
+        self, connection: UpstreamConnection, keep_alive_seconds: float | None
+    ) -> None:
+        """Keep a connection for reuse if its answer was read in full, or close it.
 
         Args:
             connection: The connection.
-            keep_seconds: How long the upstream says it keeps it, or None if it does not say, for
-                which `KEEP_SECONDS` is taken.
+            keep_alive_seconds: Keep-alive timeout that the upstream announced, or None for
+                `DEFAULT_KEEP_ALIVE_SECONDS`.
         """
         protocol = connection.protocol
         done = protocol.our_state is h11.DONE and protocol.their_state is h11.DONE
         surplus = bool(protocol.trailing_data[0])
-        keep = KEEP_SECONDS if keep_seconds is None else keep_seconds - KEEP_MARGIN_SECONDS
-        waiting = self.idle.setdefault(connection.address, [])
-        if not done or surplus or keep <= 0 or len(waiting) >= IDLE_LIMIT:
+        keep = (
+            DEFAULT_KEEP_ALIVE_SECONDS
+            if keep_alive_seconds is None
+            else keep_alive_seconds - KEEP_ALIVE_MARGIN_SECONDS
+        )
+        idle = self.idle.setdefault(connection.address, [])
+        if not done or surplus or keep <= 0 or len(idle) >= MAX_IDLE_CONNECTIONS:
             await connection.close()
             return
         protocol.start_next_cycle()
         connection.keep_until = anyio.current_time() + keep
-        waiting.append(connection)
+        idle.append(connection)
 
     async def close_idle(self, address: str) -> None:
         """Close the idle connections to one upstream."""
@@ -235,15 +241,15 @@
             await connection.close()
 
     async def close_expired(self) -> None:
-        """Close connections that have waited too long."""
+        """Close connections that may no longer be reused."""
         now = anyio.current_time()
         expired: list[UpstreamConnection] = []
-        # Sorted out before anything is awaited: a connection that is taken meanwhile must be gone
-        # from here, or two requests would share it.
-        for address, waiting in list(self.idle.items()):
-            expired += [item for item in waiting if now >= item.keep_until]
-            waiting[:] = [item for item in waiting if now < item.keep_until]
-            if not waiting:
+        # Remove all expired connections before the first await. Otherwise a connection that is
+        # acquired in between could be used by two requests.
+        for address, idle in list(self.idle.items()):
+            expired += [item for item in idle if now >= item.keep_until]
+            idle[:] = [item for item in idle if now < item.keep_until]
+            if not idle:
                 del self.idle[address]
         for connection in expired:
             await connection.close()
--- a/src/ledgeladder/http1/server.py
+++ b/src/ledgeladder/http1/server.py
@@ -1,4 +1,4 @@
-"""Serving HTTP/1.1: one task a connection, and a watch for callers who leave."""
+"""HTTP/1.1 server: one task per connection, and cancellation when the caller disconnects."""
 
 from __future__ import annotations
 
@@ -21,96 +21,95 @@
 logger = logging.getLogger(__name__)
 
 Headers = list[tuple[bytes, bytes]]
-"""Header fields in order, as they stand on the wire; a name may come more than once."""
+"""Header fields in the order and spelling of the wire; names may repeat."""
 
 READ_BYTES: Final = 65536
-"""Most bytes that one read takes."""
+"""Maximum size of a single read."""
 
 PIPELINED_LIMIT_BYTES: Final = 65536
-"""Bytes of further requests that are read while one is being answered."""
+"""Maximum number of bytes of further requests that are buffered while one is being answered."""
 
 LINGER_SECONDS: Final = 0.5
-"""How long a refused request is read on; a caller that has its answer stops sending within it."""
+"""How long a rejected request is still read, so that the caller can receive the answer."""
 
 LINGER_LIMIT_BYTES: Final = 8 * 1024 * 1024
-"""Most bytes that are dropped meanwhile."""
+"""Maximum number of bytes that are read and dropped in that time."""
 
-STREAM_ENDED: Final = (
+DISCONNECT_ERRORS: Final = (
     OSError,
     anyio.EndOfStream,
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
 )
-"""What reading or writing raises once a connection has ended."""
+"""Errors that reading and writing raise once the connection is closed."""
 
-# What h11 and the checks below hint at, for requests that cannot be read; others are malformed.
-_CODES: Final = {413: ResultCode.BODY_TOO_LARGE, 431: ResultCode.HEAD_TOO_LARGE}
+# By the status hint of h11 and of the checks below. Other hints mean a malformed request.
+_RESULT_CODES: Final = {413: ResultCode.BODY_TOO_LARGE, 431: ResultCode.HEAD_TOO_LARGE}
 
 
 class HttpRequest(msgspec.Struct, kw_only=True):
     """A request that was read in full."""
 
     method: bytes
-    """Method."""
+    """HTTP method."""
 
     target: bytes
-    """Path and query as they were sent."""
+    """Path and query as received."""
 
     headers: Headers
-    """Header fields as they were sent."""
+    """Header fields as received."""
 
     fields: dict[bytes, bytes]
-    """Values by lower-case name; the last one of a repeated field."""
+    """Values by lower-case name; for a repeated field, the last one."""
 
     body: bytes = b""
-    """Body without its framing."""
+    """Body without transfer coding."""
 
     arrived_at: float = 0.0
-    """When its first byte was read, on the monotonic clock. For a request that came while another
-    was being answered, when its turn came."""
+    """When its first byte was read, on the monotonic clock. For a pipelined request, when the
+    previous one was answered."""
 
 
 Handler = Callable[[HttpRequest, "Exchange"], Awaitable[None]]
-"""Answers one request through its exchange."""
+"""Answers a request through its exchange."""
 
 ProblemWriter = Callable[["Exchange", Problem], Awaitable[None]]
 """Answers with a problem."""
 
 
 class HttpSite(msgspec.Struct, kw_only=True):
-    """What a listener serves."""
+    """Handlers, limits and state of a listener."""
 
     handler: Handler
     """Answers requests."""
 
     write_problem: ProblemWriter
-    """Answers requests that cannot be read."""
+    """Answers invalid requests."""
 
     limits: Callable[[], CallerLimits] = CallerLimits
-    """Bounds in force right now."""
+    """Returns the limits that are currently in force."""
 
-    watches_callers: bool = True
-    """True if an answer is given up once its caller leaves. Sites whose answers are made at once do
-    without: the task that watches is two fifths of what a heartbeat takes."""
+    cancels_on_disconnect: bool = True
+    """True to cancel a request whose caller disconnects. Sites that answer immediately avoid the
+    cost of the extra task."""
 
     stopping: bool = False
-    """True once a planned stop has begun: each answer that starts from then on ends its
-    connection."""
+    """True once a planned stop has begun. Answers that start afterwards close their connections."""
 
     idle_scopes: set[anyio.CancelScope] = msgspec.field(default_factory=set)
-    """Connections on which nothing has arrived since their last answer."""
+    """Cancel scopes of connections that wait for a request."""
 
     listening: anyio.CancelScope = msgspec.field(default_factory=anyio.CancelScope)
-    """Cancelled to refuse new connections; those that are up go on."""
+    """Cancelled to stop accepting connections; open connections are still served."""
 
     open_connections: int = 0
-    """Connections that are up."""
+    """Number of open connections."""
 
     in_progress: int = 0
-    """Requests that are being answered."""
+    """Number of requests that are being answered."""
 
     def close_idle(self) -> None:
-        """End the connections on which no request is being read or answered."""
+        """Close the connections on which no request is being read or answered."""
         for scope in list(self.idle_scopes):
             scope.cancel()
 
@@ -118,43 +117,43 @@
 class Exchange(msgspec.Struct, kw_only=True):
     """The answering side of one request.
 
-    Every method that sends raises one of `STREAM_ENDED` if the caller's connection is gone. The
-    handler need not catch it: its connection's task does.
+    Methods that send raise one of `DISCONNECT_ERRORS` if the caller has disconnected. The task of
+    the connection catches them, so handlers need not.
     """
 
     stream: SocketStream
-    """The caller's connection."""
+    """Connection of the caller."""
 
     protocol: h11.Connection
-    """State of the protocol on it."""
+    """Protocol state of the connection."""
 
     site: HttpSite
-    """Site that serves it."""
+    """Site that serves the connection."""
 
     started: bool = False
-    """True once a status was sent."""
+    """True once the head of the answer is sent."""
 
-    gone: bool = False
-    """True if the caller has left."""
+    disconnected: bool = False
+    """True if the caller has disconnected."""
 
-    last: bool = False
-    """True if the connection ends with this answer."""
+    closes_connection: bool = False
+    """True if the connection is closed after this answer."""
 
     @property
     def complete(self) -> bool:
-        """True once the whole answer was handed to the connection."""
+        """True once the whole answer is passed to the protocol."""
         return self.protocol.our_state not in (h11.SEND_RESPONSE, h11.SEND_BODY)
 
     async def answer(self, status: int, headers: Headers, body: bytes = b"") -> None:
-        """Send a whole answer in one write.
+        """Send a whole answer in a single write.
 
         Args:
             status: HTTP status.
-            headers: Header fields without those that belong to the connection.
+            headers: Header fields, without `Connection` and `Content-Length`.
             body: The body.
         """
         length = (b"Content-Length", str(len(body)).encode())
-        data = self._head(status, [*headers, length])
+        data = self._encode_head(status, [*headers, length])
         if body:
             data += self.protocol.send(h11.Data(data=body)) or b""
         data += self.protocol.send(h11.EndOfMessage()) or b""
@@ -162,7 +161,7 @@
 
     async def begin(self, status: int, headers: Headers, first: bytes) -> None:
         """Send the head and the first part of an answer of unknown length."""
-        data = self._head(status, headers)
+        data = self._encode_head(status, headers)
         data += self.protocol.send(h11.Data(data=first)) or b""
         await self.stream.send(data)
 
@@ -171,37 +170,37 @@
         await self.stream.send(self.protocol.send(h11.Data(data=part)) or b"")
 
     async def end(self) -> None:
-        """Mark the answer as complete."""
+        """Send the end of the body."""
         await self.stream.send(self.protocol.send(h11.EndOfMessage()) or b"")
 
-    def _head(self, status: int, headers: Headers) -> bytes:
+    def _encode_head(self, status: int, headers: Headers) -> bytes:
         self.started = True
-        if self.site.stopping or self.last:
+        if self.site.stopping or self.closes_connection:
             headers = [*headers, (b"Connection", b"close")]
         return self.protocol.send(h11.Response(status_code=status, headers=headers)) or b""
 
 
 class _Connection(msgspec.Struct, kw_only=True):
-    """A caller's connection, which carries one request after the other."""
+    """Connection of a caller, which serves requests one after another."""
 
     stream: SocketStream
     """The connection."""
 
     protocol: h11.Connection
-    """State of the protocol on it."""
+    """Protocol state of the connection."""
 
     site: HttpSite
-    """Site that serves it."""
+    """Site that serves the connection."""
 
     first_byte_at: float = 0.0
-    """When the request that is being read began, on the monotonic clock."""
+    """When the first byte of the current request was read, on the monotonic clock."""
 
     async def read_request(self) -> HttpRequest | None:
-        """Read the next request; None if the connection ended or rested too long before one began.
+        """Read the next request; None if the connection was closed or idle for too long.
 
         Raises:
-            h11.RemoteProtocolError: If it is malformed or too long; its hint is the status.
-            TimeoutError: If it does not arrive in time.
+            h11.RemoteProtocolError: If the request is malformed or too long; hints at a status.
+            TimeoutError: If the request is not received in time.
         """
         head = await self._read_head()
         if head is None:
@@ -234,15 +233,15 @@
                 await self._feed()
 
     def _check_length(self, head: h11.Request) -> None:
-        """Refuse a head that is too long although it arrived whole, which h11 lets pass."""
+        """Reject a head that exceeds the limit; h11 accepts it if it is received whole."""
         fields = sum(len(name) + len(value) + 4 for name, value in head.headers.raw_items())
         if len(head.target) + fields > self.site.limits().header_bytes:
             raise h11.RemoteProtocolError("head too large", error_status_hint=431)
 
     async def _wait_for_first_byte(self) -> bool:
-        """Wait on an idle connection; False if it rested too long or a planned stop ended it.
+        """Wait for data on an idle connection; False after the idle timeout or a planned stop.
 
-        A planned stop ends connections here and nowhere else, so that it never cuts a request.
+        A planned stop closes connections only here, so it never interrupts a request.
         """
         with anyio.move_on_after(self.site.limits().idle_seconds) as scope:
             self.site.idle_scopes.add(scope)
@@ -279,44 +278,44 @@
         self.protocol.receive_data(data)
 
     async def answer(self, request: HttpRequest) -> bool:
-        """Answer a request; returns True if the connection can serve another."""
+        """Answer a request, and return True if the connection can be reused."""
         exchange = Exchange(stream=self.stream, protocol=self.protocol, site=self.site)
-        if not self.site.watches_callers:
+        if not self.site.cancels_on_disconnect:
             await self.site.handler(request, exchange)
             return self._is_reusable(exchange)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._watch_caller, exchange, tasks.cancel_scope)
+            tasks.start_soon(self._cancel_on_disconnect, exchange, tasks.cancel_scope)
             await self.site.handler(request, exchange)
             tasks.cancel_scope.cancel()
         return self._is_reusable(exchange)
 
     def _is_reusable(self, exchange: Exchange) -> bool:
-        """Begin the next cycle of the protocol if the connection can serve another request."""
-        if exchange.gone or self.protocol.our_state is not h11.DONE:
+        """Return True if the connection can be reused, after starting the next protocol cycle."""
+        if exchange.disconnected or self.protocol.our_state is not h11.DONE:
             return False
         if self.protocol.their_state is not h11.DONE:
             return False
         self.protocol.start_next_cycle()
         return True
 
-    async def _watch_caller(self, exchange: Exchange, scope: anyio.CancelScope) -> None:
-        """Read ahead while a request is answered, and cancel the answer if the caller leaves.
+    async def _cancel_on_disconnect(self, exchange: Exchange, scope: anyio.CancelScope) -> None:
+        """Read ahead while a request is answered, and cancel it if the caller disconnects.
 
-        A caller that closes only its sending side counts as gone. One that sends more than
-        `PIPELINED_LIMIT_BYTES` ahead is no longer watched: its leaving shows with the next write.
+        A caller that closes only its sending side counts as disconnected. Reading ahead stops after
+        `PIPELINED_LIMIT_BYTES`; a disconnect is then detected by the next write.
         """
         try:
             while len(self.protocol.trailing_data[0]) < PIPELINED_LIMIT_BYTES:
                 self.protocol.receive_data(await self.stream.receive(READ_BYTES))
-        except STREAM_ENDED:
-            exchange.gone = True
+        except DISCONNECT_ERRORS:
+            exchange.disconnected = True
             scope.cancel()
 
     async def linger(self) -> None:
-        """Read and drop what the caller still sends, so that the close does not reset its answer.
+        """Read and drop what the caller still sends, so that closing does not discard the answer.
 
-        Closing a connection with unread bytes makes the kernel reset it, and the caller may lose
-        an answer that it has not read (RFC 9112, section 9.6).
+        Closing a connection with unread bytes resets it, and the caller may lose an answer that it
+        has not read yet (RFC 9112, section 9.6).
         """
         dropped = 0
         with anyio.move_on_after(LINGER_SECONDS):
@@ -324,11 +323,13 @@
             while dropped < LINGER_LIMIT_BYTES:
                 dropped += len(await self.stream.receive(READ_BYTES))
 
-    async def refuse(self, problem: Problem) -> None:
-        """Answer a request that could not be read, if that is still possible."""
+    async def reject(self, problem: Problem) -> None:
+        """Answer an invalid request if no answer was started, then linger."""
         if self.protocol.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        exchange = Exchange(stream=self.stream, protocol=self.protocol, site=self.site, last=True)
+        exchange = Exchange(
+            stream=self.stream, protocol=self.protocol, site=self.site, closes_connection=True
+        )
         await self.site.write_problem(exchange, problem)
         await self.linger()
 
@@ -336,14 +337,14 @@
 async def serve_http1(address: str, site: HttpSite) -> None:
     """Listen and serve until cancelled.
 
-    Cancelling `site.listening` closes the listener only; connections that are up are served on.
+    Cancelling `site.listening` closes only the listener; open connections are still served.
 
     Args:
         address: `host:port` to listen on.
-        site: What to serve.
+        site: The site.
 
     Raises:
-        OSError: If the address cannot be listened on.
+        OSError: If listening on the address fails.
     """
     listener = await listen_tcp(address)
     async with listener, anyio.create_task_group() as connections:
@@ -364,8 +365,8 @@
     try:
         tune_socket(stream)
         await _serve_requests(connection)
-    except STREAM_ENDED:
-        # The caller closed or reset its connection; the request's own line says what was lost.
+    except DISCONNECT_ERRORS:
+        # The caller closed or reset its connection; the request handler logs the effect.
         pass
     except Exception:
         logger.exception("connection failed")
@@ -381,13 +382,13 @@
         try:
             request = await connection.read_request()
         except h11.RemoteProtocolError as error:
-            code = _CODES.get(error.error_status_hint, ResultCode.MALFORMED_REQUEST)
+            code = _RESULT_CODES.get(error.error_status_hint, ResultCode.MALFORMED_REQUEST)
             logger.warning("request not readable", extra={"code": code.name, "detail": str(error)})
-            await connection.refuse(Problem(code=code, detail=str(error)))
+            await connection.reject(Problem(code=code, detail=str(error)))
             return
         except TimeoutError:
             logger.warning("request too slow", extra={"code": ResultCode.REQUEST_SLOW.name})
-            await connection.refuse(Problem(code=ResultCode.REQUEST_SLOW))
+            await connection.reject(Problem(code=ResultCode.REQUEST_SLOW))
             return
         if request is None:
             return
@@ -395,10 +396,10 @@
         try:
             reusable = await connection.answer(request)
         except BaseExceptionGroup as group:
-            # A task group wraps what its tasks raise; a lost connection is no failure.
-            _, rest = group.split(STREAM_ENDED)
-            if rest is not None:
-                raise rest from None
+            # The task group wraps the errors of its tasks; a disconnect is not a failure.
+            _, others = group.split(DISCONNECT_ERRORS)
+            if others is not None:
+                raise others from None
             return
         finally:
             site.in_progress -= 1
--- a/src/ledgeladder/platform/exchange.py
+++ b/src/ledgeladder/platform/exchange.py
@@ -5,7 +5,7 @@
 import contextlib
 from typing import TYPE_CHECKING, Final
 
-from ..http1.wishes import read_rate, read_rest
+from ..http1.backpressure import read_backoff, read_rate
 from ..model.exchange import AnswerFacts, CallerFacts, Dispatch, PathPart, UpstreamLoad
 from .registrations import upstream_of
 
@@ -166,7 +166,7 @@
         failed_upstream=fields.get(b"at-server", b"").decode("latin-1"),
         load=_load(fields.get(b"replica-load")),
         keep_alive_seconds=_keep_alive_seconds(fields),
-        backoff_seconds=read_rest(status, told),
+        backoff_seconds=read_backoff(status, told),
         draining=fields.get(b"server-leaving", b"0").strip() not in (b"", b"0"),
         advertised_rate=read_rate(b"server-limit", told),
     )
--- a/src/ledgeladder/upstreams/engine.py
+++ b/src/ledgeladder/upstreams/engine.py
@@ -15,7 +15,7 @@
 import httpx
 import msgspec
 
-from ..http1.wishes import raise_for_rest, read_rest
+from ..http1.backpressure import raise_for_backoff, read_backoff
 from ..routing.session import ReceiptStage, TokenFrame
 from .fields import named_rate, raw_fields
 
@@ -168,7 +168,7 @@
         if it did not answer.
 
     Raises:
-        RestAskedError: If it asks for rest.
+        BackoffRequestedError: If it asks for rest.
     """
     url = f"http://{address}{ORDER_PATH}"
     try:
@@ -176,7 +176,7 @@
             response = await client.post(url, content=msgspec.json.encode(order))
     except (httpx.HTTPError, TimeoutError):
         return None
-    raise_for_rest(response.status_code, raw_fields(response))
+    raise_for_backoff(response.status_code, raw_fields(response))
     return response.status_code == OK_STATUS
 
 
@@ -272,7 +272,7 @@
     except msgspec.DecodeError:
         body = RefusalBody(reason=f"status {response.status_code}")
     raise EngineRefusedError(
-        body, backoff_seconds=read_rest(response.status_code, raw_fields(response))
+        body, backoff_seconds=read_backoff(response.status_code, raw_fields(response))
     )
 
 
@@ -343,12 +343,12 @@
         The report, or None if there is none or it is absurd.
 
     Raises:
-        RestAskedError: If it asks for rest.
+        BackoffRequestedError: If it asks for rest.
     """
     try:
         with anyio.fail_after(PROBE_SECONDS):
             response = await client.get(f"http://{address}{LOAD_PATH}")
-        raise_for_rest(response.status_code, raw_fields(response))
+        raise_for_backoff(response.status_code, raw_fields(response))
         return msgspec.json.decode(response.content, type=EngineLoad)
     except (httpx.HTTPError, TimeoutError, msgspec.DecodeError):
         return None
--- a/src/ledgeladder/upstreams/fields.py
+++ b/src/ledgeladder/upstreams/fields.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from ..http1.wishes import read_rate
+from ..http1.backpressure import read_rate
 
 if TYPE_CHECKING:
     import httpx
--- a/src/ledgeladder/upstreams/service.py
+++ b/src/ledgeladder/upstreams/service.py
@@ -7,7 +7,7 @@
 import httpx
 import msgspec
 
-from ..http1.wishes import read_rest
+from ..http1.backpressure import read_backoff
 from ..model import EXECUTION_HEADER, Execution
 from .fields import named_rate, raw_fields
 
@@ -105,7 +105,7 @@
         raise ServiceCallError(Execution.NOT_RUN, str(error)) from error
     except httpx.HTTPError as error:
         raise ServiceCallError(Execution.UNKNOWN, f"{type(error).__name__}: {error}") from error
-    rest = read_rest(response.status_code, raw_fields(response))
+    rest = read_backoff(response.status_code, raw_fields(response))
     if response.headers.get(EXECUTION_HEADER) == Execution.NOT_RUN.value:
         detail = f"refused with status {response.status_code}"
         raise ServiceCallError(
--- a/tests/http1/test_wishes.py
+++ b/tests/http1/test_backpressure.py
@@ -1,4 +1,4 @@
-"""Times that upstreams name for coming back, and rates that they name."""
+"""Back-off and rates in header fields of answers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ledgeladder.http1.wishes import LONGEST_SECONDS, read_rate, read_retry_after
+from ledgeladder.http1.backpressure import MAX_BACKOFF_SECONDS, read_rate, read_retry_after
 
 DATE = (b"date", b"Sun, 06 Nov 1994 08:49:37 GMT")
 
@@ -18,8 +18,8 @@
         (b" 2.5 ", 2.5),
         (b"0", 0.0),
         (b"0.004", 0.004),
-        (b"1e12", LONGEST_SECONDS),
-        (b"inf", LONGEST_SECONDS),
+        (b"1e12", MAX_BACKOFF_SECONDS),
+        (b"inf", MAX_BACKOFF_SECONDS),
         (b"-1", None),
         (b"nan", None),
         (b"", None),
@@ -32,19 +32,19 @@
         (b"Sun, 99 Nov 1994 08:49:41 GMT", None),
     ],
 )
-def test_value_is_read_or_counts_as_not_said(value: bytes, seconds: float | None) -> None:
+def test_retry_after_is_parsed_or_ignored_if_invalid(value: bytes, seconds: float | None) -> None:
     assert read_retry_after([DATE, (b"retry-after", value)]) == seconds
 
 
-def test_answer_without_the_field_names_no_time() -> None:
+def test_answer_without_retry_after_requests_no_backoff() -> None:
     assert read_retry_after([DATE, (b"x-retry-after", b"3")]) is None
 
 
-def test_point_in_time_says_nothing_without_the_date_of_the_answer() -> None:
+def test_retry_after_date_is_ignored_without_a_date_field() -> None:
     assert read_retry_after([(b"retry-after", DATE[1])]) is None
 
 
-def test_longest_of_several_fields_counts() -> None:
+def test_longest_of_several_delays_counts() -> None:
     fields = [(b"retry-after", b"1"), (b"retry-after", b"4"), (b"retry-after", b"x")]
     assert read_retry_after(fields) == 4.0
 
@@ -68,11 +68,11 @@
         ([""], None),
     ],
 )
-def test_lowest_figure_that_can_be_read_counts(values: list[str], rate: float | None) -> None:
-    named = read_rate(NAME, [(b"other", b"7"), *((NAME, value.encode()) for value in values)])
-    assert named is not None
-    assert named.rate == rate
+def test_lowest_valid_rate_counts(values: list[str], rate: float | None) -> None:
+    advertised = read_rate(NAME, [(b"other", b"7"), *((NAME, value.encode()) for value in values)])
+    assert advertised is not None
+    assert advertised.rate == rate
 
 
-def test_answer_without_the_field_names_nothing() -> None:
+def test_answer_without_a_rate_field_has_no_rate() -> None:
     assert read_rate(NAME, [(b"other", b"7")]) is None
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -1,4 +1,4 @@
-"""The pool of connections while connections are taken, given back and closed side by side."""
+"""The connection pool while connections are acquired, released and closed concurrently."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class SlowStream:
-    """A stream whose close takes a moment."""
+    """A stream whose `aclose` yields to other tasks."""
 
     def __init__(self, during_close: Callable[[], None] | None = None) -> None:
         self.closed = False
         self.during_close = during_close
 
     async def aclose(self) -> None:
-        """Close, and let others run meanwhile."""
+        """Close after other tasks have run."""
         await anyio.sleep(0.01)
         if self.during_close is not None:
             self.during_close()
@@ -36,28 +36,28 @@
     )
 
 
-def test_connection_taken_while_others_are_closed_is_not_handed_out_again(
+def test_connection_acquired_during_cleanup_is_not_acquired_twice(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Two requests on one connection would get each other's answers."""
+    """Two requests on one connection would receive each other's answers."""
     monkeypatch.setattr(client, "_is_readable", lambda _: False)
 
     async def run() -> None:
         now = anyio.current_time()
         fresh, expired = connection(now + 60), connection(now - 1)
         pool = ConnectionPool(idle={"a:1": [fresh, expired]})
-        taken: list[UpstreamConnection | None] = []
+        acquired: list[UpstreamConnection | None] = []
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(pool.close_expired)
             await anyio.sleep(0.001)
-            taken.append(await pool.take("a:1"))
-        taken.append(await pool.take("a:1"))
-        assert taken == [fresh, None]
+            acquired.append(await pool.acquire("a:1"))
+        acquired.append(await pool.acquire("a:1"))
+        assert acquired == [fresh, None]
 
     anyio.run(run)
 
 
-def test_connection_given_back_while_others_are_closed_is_kept(
+def test_connection_released_during_cleanup_is_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client, "_is_readable", lambda _: False)
@@ -66,10 +66,10 @@
         now = anyio.current_time()
         kept = connection(now + 60)
         pool = ConnectionPool()
-        late = SlowStream(during_close=lambda: pool.idle.setdefault("a:1", []).append(kept))
-        pool.idle["a:1"] = [connection(now - 1, late)]
+        slow = SlowStream(during_close=lambda: pool.idle.setdefault("a:1", []).append(kept))
+        pool.idle["a:1"] = [connection(now - 1, slow)]
         await pool.close_expired()
-        assert late.closed
-        assert await pool.take("a:1") is kept
+        assert slow.closed
+        assert await pool.acquire("a:1") is kept
 
     anyio.run(run)
