--- a/src/ledgeladder/daemons/entry/context.py
+++ b/src/ledgeladder/daemons/entry/context.py
@@ -57,7 +57,7 @@
     admission: Admission
     """Admission limits and queue."""
 
-    pick: EngineSelector
+    select_engine: EngineSelector
     """Chooses among candidate engines."""
 
     rng: random.Random
--- a/src/ledgeladder/daemons/entry/follower.py
+++ b/src/ledgeladder/daemons/entry/follower.py
@@ -1,4 +1,7 @@
-"""Following the configuration: from control boxes, and from neighbours while those are cut off."""
+"""Follows the configuration on control boxes, and on neighbours while those are unreachable.
+
+Neighbours are the other entry boxes of the failure domain.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 from ..limit_keeper import handle_limit_message
 from .context import apply_configuration, limit_keeper_of, run_in_background
 from .crashes import handle_quarantine_message
-from .gate import pass_order
+from .gate import forward_order
 
 if TYPE_CHECKING:
     from ...links import Link, LinkIdentity
@@ -32,24 +35,24 @@
 
 logger = logging.getLogger(__name__)
 
-FIRST_SYNC_SECONDS: Final = 1.5
-"""How long a starting box waits for every source before it trusts those that answered."""
+FIRST_SYNC_TIMEOUT_SECONDS: Final = 1.5
+"""Timeout after which a starting box no longer waits for every source to answer."""
 
-HEAD_SECONDS: Final = 2.0
-"""How often a box tells its neighbours and control boxes its version."""
+ANNOUNCE_INTERVAL_SECONDS: Final = 2.0
+"""Interval at which a box announces its version to neighbours and control boxes."""
 
 
 class Follower(msgspec.Struct, kw_only=True):
-    """Links over which versions are learnt."""
+    """Links to the boxes whose configuration is followed."""
 
     links: dict[str, Link] = msgspec.field(default_factory=dict)
-    """Links that are up, by box at the other end."""
+    """Established links by box at the other end."""
 
     controls: set[str] = msgspec.field(default_factory=set)
-    """Control boxes among them, whether their links are up or not."""
+    """Control boxes to which a link was ever established."""
 
     answered: set[str] = msgspec.field(default_factory=set)
-    """Boxes that have told their newest version since this process started."""
+    """Boxes that have reported their version since this process started."""
 
 
 async def follow(
@@ -61,14 +64,14 @@
     *,
     control: bool,
 ) -> None:
-    """Follow the versions of one other box, for ever.
+    """Follow the configuration of another box; runs until cancelled.
 
     Args:
         context: The entry's state.
-        follower: Its links.
+        follower: The links.
         box: The other box.
         address: Its link address.
-        identity: Who connects.
+        identity: Identity of this process.
         control: True if it is a control box.
     """
 
@@ -82,13 +85,13 @@
             while True:
                 message = await link.receive()
                 if isinstance(message, FencedOrder) and control:
-                    run_in_background(context, pass_order, context, context.gate, link, message)
+                    run_in_background(context, forward_order, context, context.gate, link, message)
                     continue
                 if control and handle_quarantine_message(context, message):
                     continue
                 if control and handle_limit_message(limit_keeper_of(context), message):
                     continue
-                take_version_message(context, link, message)
+                handle_version_message(context, link, message)
                 follower.answered.add(box)
         finally:
             if follower.links.get(box) is link:
@@ -98,17 +101,17 @@
 
 
 def send_to_controls(follower: Follower, message: LinkMessage) -> None:
-    """Tell all control boxes that are linked."""
+    """Send a message to all connected control boxes."""
     post_to_all(control_links(follower), message)
 
 
 def control_links(follower: Follower) -> list[Link]:
-    """Return the links to control boxes that are up."""
+    """Return the established links to control boxes."""
     return [link for box, link in follower.links.items() if box in follower.controls]
 
 
 def own_version(context: EntryContext) -> InForce:
-    """Return the message that tells which version this box has in force."""
+    """Return the message that reports which version this box has in force."""
     box = context.settings.box
     return InForce(
         box=box.name,
@@ -118,43 +121,43 @@
     )
 
 
-def take_version_message(context: EntryContext, link: Link, message: LinkMessage) -> None:
-    """Take in what another box tells of its version.
+def handle_version_message(context: EntryContext, link: Link, message: LinkMessage) -> None:
+    """Handle a message about the configuration of another box.
 
     Args:
         context: The entry's state.
         link: Link to the other box.
-        message: What it told.
+        message: The message.
     """
-    before = context.configuration.version
+    previous_version = context.configuration.version
     match message:
         case DeltaPush():
-            _take_deltas(context, link, message)
+            _apply_deltas(context, link, message)
         case FullPush():
             apply_configuration(context, message.configuration)
         case VersionHead():
-            _compare(context, link, message)
+            _compare_versions(context, link, message)
         case _:
             logger.warning("message of the wrong kind", extra={"peer": link.peer_box})
-    if context.configuration.version != before:
-        logger.info("in force", extra={"version": context.configuration.version})
+    if context.configuration.version != previous_version:
+        logger.info("configuration in force", extra={"version": context.configuration.version})
         link.post(own_version(context))
 
 
-def _take_deltas(context: EntryContext, link: Link, push: DeltaPush) -> None:
+def _apply_deltas(context: EntryContext, link: Link, push: DeltaPush) -> None:
     for delta in push.deltas:
         if delta.version <= context.configuration.version:
             continue
-        following = apply_delta(context.configuration, delta)
-        if following is None:
+        next_configuration = apply_delta(context.configuration, delta)
+        if next_configuration is None:
             link.post(Pull(version=context.configuration.version))
             return
-        apply_configuration(context, following)
+        apply_configuration(context, next_configuration)
     if not context.digest:
         apply_configuration(context, context.configuration)
 
 
-def _compare(context: EntryContext, link: Link, head: VersionHead) -> None:
+def _compare_versions(context: EntryContext, link: Link, head: VersionHead) -> None:
     version = context.configuration.version
     if head.version > version:
         link.post(Pull(version=version))
@@ -162,41 +165,41 @@
     # A box that has just started has no digest yet.
     both_known = bool(context.digest) and bool(head.digest)
     if both_known and head.version == version and head.digest != context.digest:
-        logger.error("same version, other content", extra={"version": version})
+        logger.error("configurations of the same version differ", extra={"version": version})
 
 
 async def announce(context: EntryContext, follower: Follower) -> None:
-    """Tell the own version to all boxes that are followed, for ever."""
+    """Announce the own version to all followed boxes; runs until cancelled."""
     while True:
-        await anyio.sleep(HEAD_SECONDS)
+        await anyio.sleep(ANNOUNCE_INTERVAL_SECONDS)
         for link in list(follower.links.values()):
             link.post(own_version(context))
 
 
 async def first_sync(context: EntryContext, follower: Follower, sources: int) -> None:
-    """Wait until the newest version that this side of a cut knows is in force.
+    """Wait until the newest version known to the reachable boxes is in force.
 
-    Every control box and every neighbour is asked. The box is ready once all have answered, or
-    once some have and the others stayed silent for a while.
+    Every control box and every neighbour is queried. The box is synced once all have answered, or
+    once any has answered and the timeout has passed.
 
     Args:
         context: The entry's state.
-        follower: Its links.
+        follower: The links.
         sources: Number of boxes that are followed.
     """
-    started = anyio.current_time()
+    started_at = anyio.current_time()
     while True:
         await anyio.sleep(0.02)
-        waited = anyio.current_time() - started
-        everybody = len(follower.answered) >= sources
-        somebody = bool(follower.answered) and waited >= FIRST_SYNC_SECONDS
-        if (everybody or somebody) and context.configuration.version > 0:
+        elapsed = anyio.current_time() - started_at
+        all_answered = len(follower.answered) >= sources
+        some_answered = bool(follower.answered) and elapsed >= FIRST_SYNC_TIMEOUT_SECONDS
+        if (all_answered or some_answered) and context.configuration.version > 0:
             context.synced.set()
             return
 
 
 async def serve_neighbour(context: EntryContext, link: Link) -> None:
-    """Serve a link that a neighbour opened to learn this box's version.
+    """Serve a link on which a neighbour follows this box's configuration.
 
     Args:
         context: The entry's state.
--- a/src/ledgeladder/daemons/entry/gate.py
+++ b/src/ledgeladder/daemons/entry/gate.py
@@ -1,12 +1,13 @@
-"""The gate: passes orders on to engines of its failure domain that do not check fences.
+"""Checks fences on behalf of engines that do not, and forwards valid orders to them.
 
-An order passes only if no higher fence has passed here, and only if a majority of control boxes is
-in no later term than the order. A leader that was frozen and lost its office without knowing is
-caught by the second check even at a gate that has just taken over from another box.
+The gate for an engine is an entry box of its failure domain. It forwards an order only if it has
+forwarded none with a higher fence to that engine, and if a majority of voters confirms that none of
+them is in a later term. The second check rejects orders of a deposed leader even if this box has
+only just become the gate.
 
-What remains possible: the gate itself is frozen between the second check and its send, and an
-order of a later term goes through another box meanwhile. The engine then gets the older order last.
-An engine that does not check fences cannot be protected from that by anybody but itself.
+One race remains: if the gate is suspended after the second check, another box may forward an order
+of a later term first. The engine then receives the older order last. Only an engine that checks
+fences itself is safe from this.
 """
 
 from __future__ import annotations
@@ -32,56 +33,56 @@
 
 logger = logging.getLogger(__name__)
 
-TERM_SECONDS: Final = 0.5
-"""How long a majority of control boxes may take to tell its terms."""
+TERM_TIMEOUT_SECONDS: Final = 0.5
+"""Timeout for a majority of voters to report their terms."""
 
 
 class TermCheck(msgspec.Struct, kw_only=True):
-    """Answers to one question for terms."""
+    """Replies to one term query."""
 
     replies: dict[str, TermReply] = msgspec.field(default_factory=dict)
-    """Replies by box."""
+    """Replies by control box."""
 
     changed: anyio.Event = msgspec.field(default_factory=anyio.Event)
-    """Set with each reply."""
+    """Set when a reply arrives; replaced after each wait."""
 
 
 class Gate(msgspec.Struct, kw_only=True):
-    """Fences that passed here."""
+    """Fences of forwarded orders."""
 
-    highest: dict[str, tuple[int, int]] = msgspec.field(default_factory=dict)
-    """Highest fence by upstream."""
+    highest_fences: dict[str, tuple[int, int]] = msgspec.field(default_factory=dict)
+    """Highest forwarded fence (term, index) by upstream."""
 
     locks: dict[str, anyio.Lock] = msgspec.field(default_factory=dict)
-    """One order at a time goes to each upstream."""
+    """Locks by upstream, since orders to an upstream are forwarded one at a time."""
 
 
-async def pass_order(context: EntryContext, gate: Gate, link: Link, order: FencedOrder) -> None:
-    """Check an order and pass it on.
+async def forward_order(context: EntryContext, gate: Gate, link: Link, order: FencedOrder) -> None:
+    """Check an order, forward it to its engine, and report the outcome to the sender.
 
     Args:
         context: The entry's state.
-        gate: Fences that passed.
+        gate: Fences of forwarded orders.
         link: Link to the control box that sent it.
         order: The order.
     """
     lock = gate.locks.setdefault(order.upstream, anyio.Lock())
     done = False
     async with lock:
-        current = await no_later_term(context.commands, order.term)
+        is_current = await is_term_current(context.commands, order.term)
         fence = (order.term, order.index)
-        if not current or fence < gate.highest.get(order.upstream, (0, 0)):
+        if not is_current or fence < gate.highest_fences.get(order.upstream, (0, 0)):
             context.metrics.events["orders-dropped"] += 1
             logger.warning("order dropped", extra={"upstream": order.upstream, "fence": fence})
         else:
-            gate.highest[order.upstream] = fence
+            gate.highest_fences[order.upstream] = fence
             request = make_order_request(order.term, order.index, order.assignment)
-            done = await _send(context, order, request)
+            done = await _send_order(context, order, request)
     link.post(OrderOutcome(upstream=order.upstream, term=order.term, index=order.index, done=done))
 
 
-async def _send(context: EntryContext, order: FencedOrder, request: OrderRequest) -> bool:
-    """Send an order, unless the engine rests; True if it holds what was ordered."""
+async def _send_order(context: EntryContext, order: FencedOrder, request: OrderRequest) -> bool:
+    """Send an order unless the engine is backing off; return whether it holds the layers."""
     view = context.upstreams.views.get(order.upstream)
     if view is not None and is_backing_off(view, now()):
         return False
@@ -93,15 +94,15 @@
         return False
 
 
-async def no_later_term(commands: CommandClient, term: int) -> bool:
-    """Tell whether a majority of voters is in no later term than the given one.
+async def is_term_current(commands: CommandClient, term: int) -> bool:
+    """Return whether a majority of voters is in no later term than the given one.
 
     Args:
         commands: Links to the control boxes.
         term: The term.
 
     Returns:
-        False if one of them is in a later term, or if no majority answers in time.
+        False if any voter that replied is in a later term, or if no majority replies in time.
     """
     commands.last_call += 1
     number = commands.last_call
@@ -110,16 +111,16 @@
     try:
         for link in commands.links.values():
             link.post(TermQuery(call=number))
-        with anyio.move_on_after(TERM_SECONDS):
-            while not _majority(check, term):
+        with anyio.move_on_after(TERM_TIMEOUT_SECONDS):
+            while not _has_majority(check, term):
                 await check.changed.wait()
                 check.changed = anyio.Event()
     finally:
         del commands.term_checks[number]
-    return _majority(check, term)
+    return _has_majority(check, term)
 
 
-def _majority(check: TermCheck, term: int) -> bool:
+def _has_majority(check: TermCheck, term: int) -> bool:
     replies = [reply for reply in check.replies.values() if reply.is_voter]
     if any(reply.term > term for reply in replies):
         return False
--- a/src/ledgeladder/daemons/entry/generation.py
+++ b/src/ledgeladder/daemons/entry/generation.py
@@ -103,7 +103,7 @@
         progress.recovering = True
         context.metrics.events[f"attempt-{outcome.result.value}"] += 1
         logger.info(
-            "stages replaced",
+            "attempt failed; replacing stages",
             extra={
                 "request_id": session.session_id,
                 "attempt": attempt,
@@ -137,7 +137,7 @@
     """
     _request_grants(context, request)
     engines = eligible_engines(context.upstreams, request.pipeline, now(), allowed=request.allowed)
-    chosen = choose_route(engines, request.pipeline.layers, context.pick)
+    chosen = choose_route(engines, request.pipeline.layers, context.select_engine)
     if isinstance(chosen, Failure):
         _refuse_if_backing_off(context, request)
         raise ProblemError(chosen.failure())
@@ -185,7 +185,9 @@
         engines = eligible_engines(
             context.upstreams, request.pipeline, at, allowed=request.allowed, available_within=wait
         )
-        if not isinstance(choose_route(engines, request.pipeline.layers, context.pick), Failure):
+        if not isinstance(
+            choose_route(engines, request.pipeline.layers, context.select_engine), Failure
+        ):
             return wait or None
     return None
 
@@ -205,10 +207,10 @@
             context.upstreams, request.pipeline, now(), allowed=request.allowed
         )
         assert session.route is not None
-        replaced = replace_stages(session.route, outcome.blamed, engines, context.pick)
+        replaced = replace_stages(session.route, outcome.blamed, engines, context.select_engine)
         if replaced is not None:
             return replaced
-        chosen = choose_route(engines, request.pipeline.layers, context.pick)
+        chosen = choose_route(engines, request.pipeline.layers, context.select_engine)
         if not isinstance(chosen, Failure):
             return chosen.unwrap()
         if now() >= give_up_at:
--- a/src/ledgeladder/daemons/entry/main.py
+++ b/src/ledgeladder/daemons/entry/main.py
@@ -31,7 +31,7 @@
     send_to_controls,
     serve_neighbour,
 )
-from .neighbourhood import build_membership, run_membership
+from .membership_driver import build_membership, run_membership
 from .watching import probe_suspects, watch_upstreams
 
 if TYPE_CHECKING:
@@ -68,12 +68,12 @@
         client=client,
         background=background,
         admission=admission,
-        pick=_pick(settings, rng),
+        select_engine=_engine_selector(settings, rng),
         rng=rng,
     )
 
 
-def _pick(settings: EntrySettings, rng: random.Random) -> EngineSelector:
+def _engine_selector(settings: EntrySettings, rng: random.Random) -> EngineSelector:
     match settings.entry.route_choice:
         case "better-of-two":
             return better_of_two(rng)
--- a/src/ledgeladder/daemons/entry/neighbourhood.py
+++ b/src/ledgeladder/daemons/entry/membership_driver.py
@@ -1,4 +1,4 @@
-"""Driving the membership protocol of an entry box over UDP."""
+"""Runs the membership protocol of an entry box over UDP."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ...links.datagrams import seal, unseal
 from ...model import ProblemError
 from ..clock import now, wall_clock_ms
-from .watching import adopt_reports
+from .watching import apply_reports
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -27,21 +27,21 @@
 
 logger = logging.getLogger(__name__)
 
-TICK_SECONDS: Final = 0.02
-"""Shortest pause between two looks at what is due."""
+MIN_TICK_SECONDS: Final = 0.02
+"""Minimum interval between two steps of the protocol."""
 
-TICK_LIMIT_SECONDS: Final = 0.25
-"""Longest pause, within which a planned stop is announced."""
+MAX_TICK_SECONDS: Final = 0.25
+"""Maximum interval between two steps; bounds the delay until a planned stop is announced."""
 
 
 def build_membership(context: EntryContext) -> Membership:
-    """Build the beliefs of a box that has just started.
+    """Build the membership state of a box that has just started.
 
     Args:
         context: The entry's state.
 
     Returns:
-        Beliefs about the own box alone.
+        A state that contains no other box.
     """
     settings = context.settings
     own = next(
@@ -62,11 +62,11 @@
 
     Args:
         context: The entry's state.
-        membership: The beliefs.
+        membership: The membership state.
     """
     host, port = split_address(context.settings.entry.link_address)
     async with await anyio.create_udp_socket(local_host=host, local_port=port) as socket:
-        send = _sender(context, socket)
+        send = _make_send(context, socket)
         await send(protocol.start(membership))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(_receive, context, membership, socket, send)
@@ -75,7 +75,7 @@
                 if context.stopping and not membership.left:
                     await send(protocol.leave(membership))
                 wait = protocol.next_due(membership) - now()
-                await anyio.sleep(min(max(wait, TICK_SECONDS), TICK_LIMIT_SECONDS))
+                await anyio.sleep(min(max(wait, MIN_TICK_SECONDS), MAX_TICK_SECONDS))
 
 
 async def _receive(
@@ -93,12 +93,12 @@
         reports = dict(membership.reports)
         replies = protocol.receive(membership, message, now())
         if membership.reports != reports:
-            adopt_reports(context, membership)
+            apply_reports(context, membership)
         await send(replies)
 
 
-def _sender(context: EntryContext, socket: UDPSocket) -> Send:
-    """Return the one way to send, since a socket takes one sender at a time."""
+def _make_send(context: EntryContext, socket: UDPSocket) -> Send:
+    """Return a function that sends datagrams; it serializes calls, as the socket requires."""
     secret = context.settings.cluster.secret
     lock = anyio.Lock()
 
@@ -110,6 +110,6 @@
                 try:
                     await socket.sendto(data, *split_address(datagram.address))
                 except OSError as error:
-                    logger.debug("datagram lost", extra={"reason": str(error)})
+                    logger.debug("datagram not sent", extra={"reason": str(error)})
 
     return send
--- a/src/ledgeladder/daemons/entry/watching.py
+++ b/src/ledgeladder/daemons/entry/watching.py
@@ -1,4 +1,7 @@
-"""Watching upstreams: load reports by a few boxes each, and probes of suspected engines."""
+"""Checks the load of engines, shares the reports, and probes suspected engines.
+
+Each engine is checked by a few boxes of its failure domain.
+"""
 
 from __future__ import annotations
 
@@ -27,34 +30,34 @@
     from ...routing.upstream_table import UpstreamView
     from .context import EntryContext
 
-WATCH_SECONDS: Final = 1.0
-"""Time between two looks at an upstream by one box."""
+CHECK_INTERVAL_SECONDS: Final = 1.0
+"""Mean interval at which a box checks an engine."""
 
-WATCHERS: Final = 2
-"""Boxes of an upstream's failure domain that watch it."""
+WATCHERS_PER_ENGINE: Final = 2
+"""Number of boxes that check an engine."""
 
-MISSES: Final = 2
-"""Looks without an answer after which an upstream is reported as down."""
+MISSES_UNTIL_DOWN: Final = 2
+"""Number of unanswered checks after which an engine is reported as down."""
 
-REPORT_CHANGE: Final = 0.25
-"""Share by which the load must change to be reported again."""
+MIN_LOAD_CHANGE_SHARE: Final = 0.25
+"""Share of the reported load by which it must change to be reported again."""
 
-REPORT_SECONDS: Final = 10.0
-"""A report is renewed after this time even without a change."""
+REPORT_RENEWAL_SECONDS: Final = 10.0
+"""Age at which a report is renewed even without a change."""
 
-PROBE_SECONDS: Final = 0.3
-"""Time between two probes of a suspected engine."""
+PROBE_INTERVAL_SECONDS: Final = 0.3
+"""Mean interval at which a suspected engine is probed."""
 
 
 async def watch_upstreams(context: EntryContext, membership: Membership) -> None:
-    """Look at the engines that this box watches, for ever, and report what changed."""
-    misses: dict[str, int] = {}
+    """Check the engines assigned to this box and report changes; runs until cancelled."""
+    missed_checks: dict[str, int] = {}
     while True:
-        await anyio.sleep(WATCH_SECONDS * random.uniform(0.8, 1.2))
+        await anyio.sleep(CHECK_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
         async with anyio.create_task_group() as tasks:
             for view in list(context.upstreams.views.values()):
                 if _is_watched_here(membership, view) and not is_backing_off(view, now()):
-                    tasks.start_soon(_look, context, membership, view, misses)
+                    tasks.start_soon(_check_engine, context, membership, view, missed_checks)
 
 
 def _is_watched_here(membership: Membership, view: UpstreamView) -> bool:
@@ -63,11 +66,11 @@
         return False
     if upstream.failure_domain != membership.failure_domain:
         return False
-    return membership.name in watchers(membership, upstream.name, WATCHERS)
+    return membership.name in watchers(membership, upstream.name, WATCHERS_PER_ENGINE)
 
 
-async def _look(
-    context: EntryContext, membership: Membership, view: UpstreamView, misses: dict[str, int]
+async def _check_engine(
+    context: EntryContext, membership: Membership, view: UpstreamView, missed_checks: dict[str, int]
 ) -> None:
     name = view.upstream.name
     try:
@@ -75,8 +78,8 @@
     except BackoffRequestedError as error:
         record_backoff(view, error.seconds, now())
         return
-    misses[name] = 0 if load is not None else misses.get(name, 0) + 1
-    if load is None and misses[name] < MISSES:
+    missed_checks[name] = 0 if load is not None else missed_checks.get(name, 0) + 1
+    if load is None and missed_checks[name] < MISSES_UNTIL_DOWN:
         return
     report = UpstreamReport(
         name=name,
@@ -85,30 +88,30 @@
         leaving=load is not None and load.leaving,
         running=load.running if load is not None else 0,
     )
-    if worth_reporting(membership.reports.get(name), report):
+    if should_report(membership.reports.get(name), report):
         merge_report(membership, report)
-        adopt_reports(context, membership)
+        apply_reports(context, membership)
 
 
-def worth_reporting(last: UpstreamReport | None, report: UpstreamReport) -> bool:
-    """Tell whether a report differs enough from the last one to be passed on.
+def should_report(last: UpstreamReport | None, report: UpstreamReport) -> bool:
+    """Return whether a report differs enough from the last one to be shared.
 
     Args:
-        last: The newest report that all boxes know.
-        report: What was just seen.
+        last: The newest shared report.
+        report: The result of the latest check.
 
     Returns:
-        True if state or load changed, or if the last report is old.
+        True if the state or the load changed, or if the last report is due for renewal.
     """
     if last is None or (last.live, last.leaving) != (report.live, report.leaving):
         return True
-    if report.version - last.version >= REPORT_SECONDS * 1000:
+    if report.version - last.version >= REPORT_RENEWAL_SECONDS * 1000:
         return True
-    return abs(report.running - last.running) > max(1.0, last.running * REPORT_CHANGE)
+    return abs(report.running - last.running) > max(1.0, last.running * MIN_LOAD_CHANGE_SHARE)
 
 
-def adopt_reports(context: EntryContext, membership: Membership) -> None:
-    """Take over all reports into the table that routes are chosen from."""
+def apply_reports(context: EntryContext, membership: Membership) -> None:
+    """Apply all reports to the table from which routes are chosen."""
     for name, report in membership.reports.items():
         view = context.upstreams.views.get(name)
         if view is not None:
@@ -116,16 +119,16 @@
 
 
 async def probe_suspects(context: EntryContext) -> None:
-    """Probe engines that failed this box, for ever, and trust those that answer."""
+    """Probe suspected engines and clear those that answer; runs until cancelled."""
     while True:
-        await anyio.sleep(PROBE_SECONDS * random.uniform(0.8, 1.2))
+        await anyio.sleep(PROBE_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
         async with anyio.create_task_group() as tasks:
             for view in suspected_engines(context.upstreams, now()):
-                tasks.start_soon(_probe, context, view)
+                tasks.start_soon(_probe_suspect, context, view)
 
 
 async def responds_to_probe(context: EntryContext, address: str) -> bool:
-    """Probe an engine, with as much patience as answered probes suggest.
+    """Probe an engine, with a timeout based on the times of answered probes.
 
     Args:
         context: The entry's state.
@@ -134,16 +137,16 @@
     Returns:
         False if it did not answer in time.
     """
-    began = now()
+    started_at = now()
     live = await is_live(
         context.client, address, seconds=adaptive_probe_timeout(context.probe_pace)
     )
     if live:
-        record_gap(context.probe_pace, now() - began)
+        record_gap(context.probe_pace, now() - started_at)
     return live
 
 
-async def _probe(context: EntryContext, view: UpstreamView) -> None:
+async def _probe_suspect(context: EntryContext, view: UpstreamView) -> None:
     if await responds_to_probe(context, view.upstream.address):
         record_success(view)
 
@@ -151,7 +154,7 @@
 async def probe_failure_domain(context: EntryContext, failure_domain: str) -> None:
     """Probe all engines of a failure domain after one of them was lost.
 
-    A cut takes them all at once; without this each would cost some request a stall.
+    A partition cuts all of them off at once. Without the probes, each would stall a request.
 
     Args:
         context: The entry's state.
@@ -164,7 +167,7 @@
 
     async with anyio.create_task_group() as tasks:
         for view in list(context.upstreams.views.values()):
-            engine = view.upstream.kind is UpstreamKind.ENGINE
-            asked = engine and not is_backing_off(view, now())
-            if asked and view.upstream.failure_domain == failure_domain:
+            is_engine = view.upstream.kind is UpstreamKind.ENGINE
+            is_checked = is_engine and not is_backing_off(view, now())
+            if is_checked and view.upstream.failure_domain == failure_domain:
                 tasks.start_soon(check, view)
