--- a/src/ledgeladder/platform/__init__.py
+++ b/src/ledgeladder/platform/__init__.py
@@ -1,3 +1,3 @@
-"""Binding to the users' platform: its names, formats and calls. Nothing here decides."""
+"""Adapter for the users' platform: its names, formats and calls, without routing decisions."""
 
 from __future__ import annotations
--- a/src/ledgeladder/platform/configuration.py
+++ b/src/ledgeladder/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decoding the operator's document into a `TrafficConfiguration`."""
+"""Decodes the document of the operator into a `TrafficConfiguration`."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 )
 
 BYTES_PER_MEGABIT: Final = 125_000.0
-"""Bytes of a megabit."""
+"""Bytes per megabit."""
 
 MILLISECONDS: Final = 1000.0
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-"""A number above 0."""
+"""A positive number."""
 
-# The classes below name fields as the platform does; `_convert` gives them the names used inside.
+# The classes below use the field names of the platform; `_convert` maps them to the internal model.
 
 REQUEST_KINDS: Final = {
     "safe": RequestKind.REPEATABLE,
@@ -71,7 +71,7 @@
 
 class _Delay(msgspec.Struct):
     source: str = msgspec.field(name="from")
-    # The platform gives this end of the link the name that it uses for the end of a layer range.
+    # The platform uses the same key for the end of a layer range.
     target: str = msgspec.field(name="targetVersion")
     delay_ms: float = 0.0
 
@@ -129,13 +129,13 @@
 
 
 def decode_configuration(body: bytes) -> Result[TrafficConfiguration, Problem]:
-    """Decode and check a whole document.
+    """Decode and validate a document.
 
     Args:
         body: The document as the operator sent it.
 
     Returns:
-        The configuration, or a problem with code CHANGE_INVALID that names the fault.
+        The configuration, or a problem with code CHANGE_INVALID that describes the fault.
     """
     try:
         document = _DECODER.decode(body)
@@ -152,23 +152,23 @@
 
 
 def _splits(route: _Route) -> list[_Split]:
-    """Return the services of a route with their weights; a split goes before a single service."""
+    """Return the services of a route with their weights; a split overrides a single service."""
     if route.traffic_split:
         return route.traffic_split
     return [_Split(service=route.service, weight=1.0)] if route.service else []
 
 
 def _find_fault(document: _Document) -> str:
-    """Return why a document cannot be put in force, or an empty text."""
+    """Return why a document is inconsistent, or an empty string."""
     services = {service.name for service in document.services}
     if len(services) < len(document.services):
         return "two services have the same name"
     seen: set[tuple[str, str]] = set()
     for route in document.routes:
-        place = (route.host.lower(), route.path_prefix)
-        if place in seen:
+        prefix_key = (route.host.lower(), route.path_prefix)
+        if prefix_key in seen:
             return f"two routes for {route.host}{route.path_prefix}"
-        seen.add(place)
+        seen.add(prefix_key)
         if route.route_type not in REQUEST_KINDS:
             return f"route {route.name}: unknown type {route.route_type}"
         splits = _splits(route)
@@ -228,7 +228,7 @@
 
 
 def _convert_engine(engine: _Engine) -> EngineProfile:
-    """Give an engine's figures the names used inside; of several models the first one counts."""
+    """Convert the profile of an engine; of several models only the first one is used."""
     delays: dict[tuple[str, str], float] = {}
     for delay in engine.delays:
         seconds = delay.delay_ms / MILLISECONDS
--- a/src/ledgeladder/platform/control_calls.py
+++ b/src/ledgeladder/platform/control_calls.py
@@ -1,4 +1,4 @@
-"""Calls of upstreams and operators to a control box, and the answers to them."""
+"""Calls of upstreams and operators to control boxes, and their answers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from returns.result import Failure
 
 from ..model import Problem, ResultCode
-from .registrations import UPSTREAMS_PATH, decode_farewell, decode_heartbeat
+from .registrations import UPSTREAMS_PATH, decode_deregistration, decode_heartbeat
 
 if TYPE_CHECKING:
     from ..http1 import HttpRequest
@@ -19,36 +19,36 @@
 JSON_HEADERS: Final = [(b"Content-Type", b"application/json")]
 
 ACKNOWLEDGED: Final = b"{}"
-"""Body that acknowledges a call."""
+"""Body of the answer that acknowledges a call."""
 
 
 class Register(msgspec.Struct, frozen=True, kw_only=True):
-    """An upstream tells its state, or its end."""
+    """An upstream reports its state or its exit."""
 
     registration: Registration
 
 
 class Publish(msgspec.Struct, frozen=True, kw_only=True):
-    """An operator publishes a whole document."""
+    """An operator publishes a configuration document."""
 
     body: bytes
 
 
 class ReadDocument(msgspec.Struct, frozen=True, kw_only=True):
-    """An operator reads the newest document."""
+    """An operator reads the newest configuration document."""
 
 
 ControlCall = Register | Publish | ReadDocument
 
 
 def read_control_call(request: HttpRequest) -> ControlCall | Problem:
-    """Tell what a request to a control box asks for.
+    """Decode a request to a control box.
 
     Args:
         request: The request.
 
     Returns:
-        The call, or why there is none.
+        The call, or a problem if there is no such call or its body is invalid.
     """
     path = request.target.decode("latin-1").partition("?")[0]
     if path == CONFIGURATION_PATH:
@@ -64,5 +64,5 @@
                 return decoded.failure()
             return Register(registration=decoded.unwrap())
         if request.method == b"DELETE":
-            return Register(registration=decode_farewell(instance, request.body))
+            return Register(registration=decode_deregistration(instance, request.body))
     return Problem(code=ResultCode.NOT_FOUND)
--- a/src/ledgeladder/platform/engine_calls.py
+++ b/src/ledgeladder/platform/engine_calls.py
@@ -1,4 +1,4 @@
-"""Calls to engines beside requests: orders to hold layers or change a running path, and reports."""
+"""Control calls to engines: orders to load layers or to change a path, and queries of reports."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
     from ..model.registration import Holding
 
 ORDER_TARGET: Final = b"/api/order"
-"""Path at which engines take orders."""
+"""Path at which engines accept orders."""
 
 REPORT_TARGET: Final = b"/api/report"
-"""Path at which engines report how they do."""
+"""Path at which engines report their state."""
 
 
 class _Report(msgspec.Struct):
-    # How many times slower than usual the engine works, and not how fast.
+    # Slowdown factor relative to the normal speed, despite its name.
     pace: float = 1.0
-    # Orders that the engine has begun since it started, and not a number of messages.
+    # Number of orders that the engine has started since its own start, despite its name.
     sequence: int = 0
-    # True while an order is carried out; requests do not count.
+    # True while an order is executed; requests do not count.
     busy: bool = False
 
 
@@ -45,16 +45,17 @@
 
 
 def place_call(
-    instance: str, holding: Holding, fence: int, orders_taken: int, *, wait: bool
+    instance: str, holding: Holding, fence: int, expected_orders: int, *, wait: bool
 ) -> EngineCall:
-    """Build the order to hold a range of layers.
+    """Build the order to load a range of layers.
 
     Args:
-        instance: Run of the engine that is meant.
-        holding: Layers to hold.
-        fence: Term of the leader that orders.
-        orders_taken: Orders that the engine must have taken before; it refuses this one otherwise.
-        wait: True if requests on layers that are given up may finish first.
+        instance: Instance of the engine that must execute it.
+        holding: Layers to load.
+        fence: Term of the leader that sends the order.
+        expected_orders: Number of orders that the engine must have started before; with any other
+            number it refuses this one.
+        wait: True to let requests on unloaded layers finish first.
     """
     body = {
         "op": "place",
@@ -62,18 +63,18 @@
         "targetVersion": holding.end,
         "how": "wait" if wait else "cut",
         "fence": fence,
-        "expectedRev": orders_taken,
+        "expectedRev": expected_orders,
     }
     return _order(instance, body)
 
 
 def repath_call(instance: str, attempt_id: str, path: Iterable[PathPart]) -> EngineCall:
-    """Build the order to carry a running request on over other engines.
+    """Build the order to continue a running request over other engines.
 
     Args:
-        instance: Run of the first engine of the path.
-        attempt_id: The request.
-        path: The new path, with the same first part.
+        instance: Instance of the first engine of the path.
+        attempt_id: Id of the attempt.
+        path: The new path, with an unchanged first part.
     """
     return _order(instance, {"op": "repath", "id": attempt_id, "path": encode_path(path)})
 
@@ -93,17 +94,17 @@
 
 
 def read_outcome(status: int) -> OrderOutcome:
-    """Tell what an engine's answer to an order means."""
+    """Return the outcome of an order for the status of the engine's answer."""
     return _OUTCOMES.get(status, OrderOutcome.REFUSED)
 
 
 def report_call() -> EngineCall:
-    """Build the call that asks an engine for its report."""
+    """Build the call that queries the report of an engine."""
     return EngineCall(method=b"GET", target=REPORT_TARGET, headers=[], body=b"")
 
 
 def read_report(body: bytes) -> EngineReport | None:
-    """Decode an engine's report; None if it cannot be read.
+    """Decode the report of an engine; return None if it is malformed.
 
     >>> read_report(b'{"pace":4.0,"busy":false}')
     EngineReport(slowdown=4.0, started_orders=0, is_busy=False)
--- a/src/ledgeladder/platform/registrations.py
+++ b/src/ledgeladder/platform/registrations.py
@@ -1,4 +1,4 @@
-"""Decoding what upstreams say of themselves."""
+"""Decodes heartbeats and deregistrations of upstreams."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from ..model.registration import Holding, Registration, UpstreamState
 
 HEARTBEAT_LIMIT_BYTES: Final = 4096
-"""Longest heartbeat that is taken; the platform counts no longer one as acknowledged."""
+"""Maximum size of a heartbeat. The platform does not count acknowledgements of longer ones."""
 
 UPSTREAMS_PATH: Final = "/api/replicas/"
-"""Path under which an upstream registers, followed by its id."""
+"""Path at which an upstream registers, followed by its id."""
 
-RUN_SEPARATOR: Final = "#"
-"""Stands between an id and the start of a run in the name of the run. No id holds it: paths end
-before it."""
+INSTANCE_SEPARATOR: Final = "#"
+"""Separates the id of an upstream from the start time in the name of an instance. Ids come from
+URL paths, which end before it, and cannot contain it."""
 
 _STATES: Final = {"ready": UpstreamState.READY, "draining": UpstreamState.DRAINING}
 
 
 class _Layers(msgspec.Struct):
     first: int = msgspec.field(name="from")
-    # One past the last layer, in spite of its name on the wire.
+    # One past the last layer, despite its name on the wire.
     end: int = msgspec.field(name="targetVersion")
 
 
@@ -35,65 +35,64 @@
     service: Annotated[str, msgspec.Meta(min_length=1)]
     address: str
     zone: str
-    # Of its software, which nothing here depends on; a heartbeat without it is of another writer.
+    # Software version. Not used, but required: a heartbeat without it has another origin.
     version: str
     state: str
     sequence: Annotated[int, msgspec.Meta(ge=0)]
     slots: int
-    # Unix time of its start in milliseconds; upstreams whose every run has an id of its own have
-    # none.
+    # Unix time of the start in milliseconds; 0 for upstreams that get a new id with each start.
     born: Annotated[int, msgspec.Meta(ge=0)] = 0
-    # Of no use here; one of another type says that the heartbeat is of another writer.
+    # Not used, but checked: a value of another type shows that the heartbeat has another origin.
     coldRemainingMs: float = 0.0  # noqa: N815
     stage: str = ""
     models: list[dict[str, object]] = []
     layers: _Layers | None = None
-    # The kind of accelerator, in spite of its name on the wire.
+    # Kind of the accelerator, despite its name on the wire.
     card: str = msgspec.field(default="", name="routeType")
 
 
-class _Farewell(msgspec.Struct):
+class _Deregistration(msgspec.Struct):
     born: Annotated[int, msgspec.Meta(ge=0)] = 0
 
 
 _DECODER: Final = msgspec.json.Decoder(_Heartbeat)
-_FAREWELL_DECODER: Final = msgspec.json.Decoder(_Farewell)
+_DEREGISTRATION_DECODER: Final = msgspec.json.Decoder(_Deregistration)
 
 
-def run_name(upstream: str, started_ms: int) -> str:
-    """Return the name of a run of an upstream.
+def instance_name(upstream: str, started_ms: int) -> str:
+    """Return the name of an instance of an upstream.
 
-    >>> run_name("i-1", 1700000000000), run_name("i-1", 0)
+    >>> instance_name("i-1", 1700000000000), instance_name("i-1", 0)
     ('i-1#1700000000000', 'i-1')
     """
-    return f"{upstream}{RUN_SEPARATOR}{started_ms}" if started_ms else upstream
+    return f"{upstream}{INSTANCE_SEPARATOR}{started_ms}" if started_ms else upstream
 
 
 def upstream_of(instance: str) -> str:
-    """Return the id by which a run of an upstream is called.
+    """Return the id of the upstream that an instance belongs to.
 
     >>> upstream_of("i-1#1700000000000")
     'i-1'
     """
-    return instance.partition(RUN_SEPARATOR)[0]
+    return instance.partition(INSTANCE_SEPARATOR)[0]
 
 
-def decode_farewell(instance: str, body: bytes) -> Registration:
-    """Decode the call by which an upstream says that it ends.
+def decode_deregistration(instance: str, body: bytes) -> Registration:
+    """Decode the call with which an upstream reports its exit.
 
     Args:
         instance: Id from the path.
-        body: The body, in which it may say which run of it ends; one that cannot be read says
-            nothing.
+        body: The body, which may give the start time of the instance; it is ignored if it cannot
+            be decoded.
 
     Returns:
-        The end of that run, or of the newest one if none is named.
+        The exit of that instance, or of the newest one if none is given.
     """
     started_ms = 0
     if body:
         with contextlib.suppress(msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            started_ms = _FAREWELL_DECODER.decode(body).born
-    return exit_registration(run_name(instance, started_ms), instance)
+            started_ms = _DEREGISTRATION_DECODER.decode(body).born
+    return exit_registration(instance_name(instance, started_ms), instance)
 
 
 def decode_heartbeat(instance: str, body: bytes) -> Result[Registration, Problem]:
@@ -109,28 +108,28 @@
     if len(body) > HEARTBEAT_LIMIT_BYTES:
         return _invalid(f"{len(body)} bytes exceed {HEARTBEAT_LIMIT_BYTES}")
     try:
-        beat = _DECODER.decode(body)
+        heartbeat = _DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         return _invalid(str(error))
-    if RUN_SEPARATOR in instance:
+    if INSTANCE_SEPARATOR in instance:
         return _invalid(f"id {instance!r}")
-    state = _STATES.get(beat.state)
-    host, separator, port = beat.address.rpartition(":")
+    state = _STATES.get(heartbeat.state)
+    host, separator, port = heartbeat.address.rpartition(":")
     if state is None or not (separator and host and port.isdigit()):
-        return _invalid(f"state {beat.state!r}, address {beat.address!r}")
+        return _invalid(f"state {heartbeat.state!r}, address {heartbeat.address!r}")
     return Success(
         Registration(
-            instance=run_name(instance, beat.born),
+            instance=instance_name(instance, heartbeat.born),
             upstream=instance,
-            started_ms=beat.born,
-            sequence=beat.sequence,
-            pool=beat.service,
-            address=beat.address,
-            failure_domain=beat.zone,
-            slots=max(1, beat.slots),
+            started_ms=heartbeat.born,
+            sequence=heartbeat.sequence,
+            pool=heartbeat.service,
+            address=heartbeat.address,
+            failure_domain=heartbeat.zone,
+            slots=max(1, heartbeat.slots),
             state=state,
-            card=beat.card,
-            holdings=_holdings(beat.layers),
+            card=heartbeat.card,
+            holdings=_holdings(heartbeat.layers),
         )
     )
 
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Decoding of the operator's document and of heartbeats."""
+"""Decoding of configuration documents, heartbeats and deregistrations."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from ledgeladder.model.registration import Holding, UpstreamState
 from ledgeladder.model.traffic import RequestKind
 from ledgeladder.platform.configuration import decode_configuration
-from ledgeladder.platform.registrations import decode_farewell, decode_heartbeat, upstream_of
+from ledgeladder.platform.registrations import decode_deregistration, decode_heartbeat, upstream_of
 from standins.discovered_fleet import example_document
 
-BEAT = {
+HEARTBEAT = {
     "service": "engines",
     "address": "10.0.0.9:8080",
     "zone": "zone-a",
@@ -31,7 +31,7 @@
 }
 
 
-def test_document_is_decoded_into_names_that_say_what_they_hold() -> None:
+def test_document_is_converted_to_the_internal_model() -> None:
     decoded = decode_configuration(json.dumps(example_document(7) | {"later": 1}).encode())
     assert isinstance(decoded, Success)
     configuration = decoded.unwrap()
@@ -103,24 +103,24 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"null", b"\xff", b"[" * 5000, b'{"version":1}'])
-def test_body_that_is_no_document_is_refused(body: bytes) -> None:
+def test_malformed_document_is_refused(body: bytes) -> None:
     assert isinstance(decode_configuration(body), Failure)
 
 
-def test_every_cut_of_a_document_is_refused() -> None:
+def test_truncated_document_is_refused() -> None:
     whole = json.dumps(example_document(3)).encode()
     for length in range(0, len(whole), 37):
         assert isinstance(decode_configuration(whole[:length]), Failure)
 
 
-def test_run_that_keeps_the_id_of_its_upstream_has_a_name_of_its_own() -> None:
-    decoded = decode_heartbeat("i-1", json.dumps(BEAT | {"born": 1_700_000_000_000}).encode())
+def test_instances_with_the_same_id_have_different_names() -> None:
+    decoded = decode_heartbeat("i-1", json.dumps(HEARTBEAT | {"born": 1_700_000_000_000}).encode())
     registration = decoded.unwrap()
     assert registration.upstream == "i-1"
     assert registration.started_ms == 1_700_000_000_000
     assert registration.instance != "i-1"
     assert upstream_of(registration.instance) == "i-1"
-    without = decode_heartbeat("i-1", json.dumps(BEAT).encode()).unwrap()
+    without = decode_heartbeat("i-1", json.dumps(HEARTBEAT).encode()).unwrap()
     assert (without.instance, without.started_ms) == ("i-1", 0)
 
 
@@ -128,13 +128,13 @@
     ("body", "instance"),
     [(b"", "i-1"), (b"oops", "i-1"), (b'{"born":"x"}', "i-1"), (b'{"born":7}', "i-1#7")],
 )
-def test_farewell_names_a_run_where_it_says_which(body: bytes, instance: str) -> None:
-    ended = decode_farewell("i-1", body)
-    assert (ended.instance, ended.upstream) == (instance, "i-1")
-    assert ended.state is UpstreamState.EXITED
+def test_deregistration_applies_to_the_instance_that_it_names(body: bytes, instance: str) -> None:
+    exited = decode_deregistration("i-1", body)
+    assert (exited.instance, exited.upstream) == (instance, "i-1")
+    assert exited.state is UpstreamState.EXITED
 
 
-OTHER_WRITERS = [
+OTHER_ORIGINS = [
     *({name: None} for name in ("service", "address", "zone", "version", "state", "sequence")),
     *({name: 7} for name in ("service", "address", "zone", "version", "state", "stage")),
     *({name: "7"} for name in ("sequence", "slots", "born", "coldRemainingMs", "models", "layers")),
@@ -145,24 +145,24 @@
     {"state": "resting"},
     {"service": ""},
 ]
-"""Changes of a heartbeat that another writer might have made; None takes a field away."""
+"""Changes of a heartbeat that show another origin; None removes a field."""
 
 
-@pytest.mark.parametrize("change", OTHER_WRITERS)
-def test_heartbeat_of_another_writer_names_no_upstream(change: dict[str, Any]) -> None:
-    beat = {name: value for name, value in (BEAT | change).items() if value is not None}
-    refused = decode_heartbeat("i-1", json.dumps(beat).encode())
+@pytest.mark.parametrize("change", OTHER_ORIGINS)
+def test_heartbeat_of_another_origin_is_refused(change: dict[str, Any]) -> None:
+    heartbeat = {name: value for name, value in (HEARTBEAT | change).items() if value is not None}
+    refused = decode_heartbeat("i-1", json.dumps(heartbeat).encode())
     assert refused.failure().code is ResultCode.REGISTRATION_INVALID
 
 
-def test_heartbeat_is_decoded_with_layers_and_without() -> None:
-    decoded = decode_heartbeat("i-1", json.dumps(BEAT).encode())
+def test_heartbeat_is_decoded_with_and_without_layers() -> None:
+    decoded = decode_heartbeat("i-1", json.dumps(HEARTBEAT).encode())
     assert isinstance(decoded, Success)
     registration = decoded.unwrap()
     assert registration.holdings == (Holding(first=14, end=21),)
     assert registration.card == "small"
     assert registration.state is UpstreamState.READY
-    empty = decode_heartbeat("i-1", json.dumps(BEAT | {"layers": None}).encode())
+    empty = decode_heartbeat("i-1", json.dumps(HEARTBEAT | {"layers": None}).encode())
     assert empty.unwrap().holdings == ()
 
 
@@ -179,6 +179,6 @@
     ],
 )
 def test_malformed_heartbeat_is_refused(change: dict[str, Any]) -> None:
-    refused = decode_heartbeat("i-1", json.dumps(BEAT | change).encode())
+    refused = decode_heartbeat("i-1", json.dumps(HEARTBEAT | change).encode())
     assert isinstance(refused, Failure)
     assert refused.failure().code is ResultCode.REGISTRATION_INVALID
--- a/tests/platform/test_exchange.py
+++ b/tests/platform/test_exchange.py
@@ -1,4 +1,4 @@
-"""Header fields on their way between callers and upstreams."""
+"""Conversion of header fields between callers and upstreams, and orders to engines."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     assert (facts.prompt_tokens, facts.answer_tokens) == (1460, 80)
 
 
-def test_fields_that_cannot_be_read_count_as_not_said() -> None:
+def test_malformed_fields_count_as_missing() -> None:
     sent = request()
     sent.fields |= {
         b"deadline-ms": b"soon",
@@ -63,7 +63,7 @@
     assert facts.key is None
 
 
-def test_dispatch_sets_its_own_fields_and_hides_the_key() -> None:
+def test_system_fields_replace_those_of_the_caller_and_the_key_is_hidden() -> None:
     parts = (
         PathPart(instance="i-1", address="10.0.0.1:1", first=0, end=20),
         PathPart(instance="i-2", address="10.0.0.2:1", first=20, end=80),
@@ -118,7 +118,7 @@
     assert other.keep_alive_seconds == 0
 
 
-def test_only_fields_of_the_connection_are_dropped_on_the_way_back() -> None:
+def test_only_connection_fields_are_dropped_from_answers() -> None:
     headers = [
         (b"Replica-Seal", b"s"),
         (b"Connection", b"close"),
@@ -128,7 +128,7 @@
     assert caller_headers(headers) == [(b"Replica-Seal", b"s"), (b"X", b"1")]
 
 
-def test_orders_carry_the_names_of_the_platform() -> None:
+def test_orders_use_the_names_of_the_platform() -> None:
     call = place_call("i-1", Holding(first=20, end=31), 7, 3, wait=True)
     assert call.body == (
         b'{"op":"place","from":20,"targetVersion":31,"how":"wait","fence":7,"expectedRev":3}'
@@ -137,7 +137,7 @@
     assert b'"path":"10.0.0.1:1=0-80"' in repath_call("i-1", "9c41", [part]).body
 
 
-def test_statuses_of_an_order_are_told_apart() -> None:
+def test_statuses_of_orders_are_mapped_to_outcomes() -> None:
     assert [read_outcome(status).value for status in (200, 202, 409, 412, 500)] == [
         "done",
         "begun",
@@ -150,13 +150,13 @@
 @pytest.mark.parametrize(
     ("status", "seconds"), [(503, 3.0), (429, 3.0), (200, None), (301, None), (421, None)]
 )
-def test_rest_is_asked_for_only_by_a_refusal(status: int, seconds: float | None) -> None:
+def test_only_refusals_request_back_off(status: int, seconds: float | None) -> None:
     facts = read_answer_facts(status, [(b"retry-after", b"3")])
     assert facts.backoff_seconds == seconds
 
 
-@pytest.mark.parametrize(("value", "leaving"), [(b"1", True), (b"0", False), (b"", False)])
-def test_any_answer_may_say_that_its_upstream_leaves(value: bytes, leaving: bool) -> None:
+@pytest.mark.parametrize(("value", "draining"), [(b"1", True), (b"0", False), (b"", False)])
+def test_any_answer_may_report_draining(value: bytes, draining: bool) -> None:
     for status in (200, 404, 500, 503):
-        assert read_answer_facts(status, [(b"server-leaving", value)]).draining is leaving
+        assert read_answer_facts(status, [(b"server-leaving", value)]).draining is draining
     assert not read_answer_facts(200, []).draining
