--- a/src/ledgeladder/daemons/entry/answers.py
+++ b/src/ledgeladder/daemons/entry/answers.py
@@ -1,4 +1,4 @@
-"""Answering generation requests: server-sent events or one JSON object, over plain ASGI."""
+"""Answers generation requests over plain ASGI, with server-sent events or one JSON object."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ...model import EXECUTION_HEADER, Execution, Problem, ProblemError, ResultCode
 from ..http import CODE_HEADER, problem_body, problem_response
 from .attempt import Generation
-from .caller_models import AnswerLabel, answer_object, chunk_object
+from .caller_models import AnswerMetadata, answer_object, chunk_object
 from .checks import Permit, admitted
 from .generation import generate
 
@@ -37,8 +37,8 @@
     send: Send
     """ASGI send."""
 
-    label: AnswerLabel
-    """What every object of the answer repeats."""
+    metadata: AnswerMetadata
+    """Fields that every object of the answer repeats."""
 
     stream: bool
     """True for server-sent events."""
@@ -46,27 +46,27 @@
     started: bool = False
     """True once the head of the response was sent."""
 
-    def describe(self, text: str, finish: str | None) -> dict[str, Any]:
-        """Build the object for a piece of the answer."""
+    def build_object(self, text: str, finish: str | None) -> dict[str, Any]:
+        """Build the object for a part of the answer."""
         build = chunk_object if self.stream else answer_object
-        return build(self.label, text, finish)
+        return build(self.metadata, text, finish)
 
     async def emit(self, texts: list[str]) -> None:
-        """Pass texts on; a streamed answer starts with the first of them."""
+        """Forward texts to the caller if the answer is streamed."""
         if not self.stream:
             return
         await self.start(content_type="text/event-stream")
-        await self.write_event(self.describe("".join(texts), None))
+        await self.write_event(self.build_object("".join(texts), None))
 
     async def start(self, *, content_type: str) -> None:
-        """Send the head of a good response once."""
+        """Send the head of a successful response unless it was sent before."""
         if self.started:
             return
         self.started = True
         headers = {
             "content-type": content_type,
             "cache-control": "no-store",
-            "x-request-id": self.label.request_id,
+            "x-request-id": self.metadata.request_id,
             "ledgeladder-served-by": self.context.settings.box.name,
             CODE_HEADER.lower(): str(int(ResultCode.OK)),
             EXECUTION_HEADER.lower(): Execution.RAN.value,
@@ -83,19 +83,19 @@
         await self.send({"type": "http.response.body", "body": body, "more_body": more})
 
     async def finish(self, session: Session) -> None:
-        """Send the end of a whole answer."""
+        """Send the rest of a complete answer."""
         usage = {"completion_tokens": len(session.tokens), "attempts": session.attempt}
         if self.stream:
             await self.start(content_type="text/event-stream")
-            await self.write_event(self.describe("", session.finish_reason) | {"usage": usage})
+            await self.write_event(self.build_object("", session.finish_reason) | {"usage": usage})
             await self.write(DONE_EVENT, more=False)
             return
-        answer = self.describe("".join(session.text), session.finish_reason) | {"usage": usage}
+        answer = self.build_object("".join(session.text), session.finish_reason) | {"usage": usage}
         await self.start(content_type="application/json")
         await self.write(msgspec.json.encode(answer), more=False)
 
     async def fail(self, problem: Problem, scope: Scope, receive: Receive) -> None:
-        """Send the final word on a request that was given up."""
+        """Answer a failed request, with a final event if the response has started."""
         if not self.started:
             await problem_response(problem)(scope, receive, self.send)
             return
@@ -111,42 +111,42 @@
     scope: Scope,
     receive: Receive,
 ) -> None:
-    """Run a request and answer it; a caller that goes away cancels it on every stage.
+    """Run a request and answer it. If the caller disconnects, cancel it on every stage.
 
     Args:
         writer: Writes the answer.
-        permit: What the request may do.
+        permit: Permit of the request.
         prompt: Its prompt.
-        max_tokens: Most tokens of the answer.
+        max_tokens: Maximum number of tokens of the answer.
         scope: ASGI scope.
-        receive: ASGI receive, which tells when the caller goes away.
+        receive: ASGI receive, which reports when the caller disconnects.
     """
 
     async def work() -> None:
         try:
-            session = await _run(writer.context, permit, prompt, max_tokens, writer.emit)
+            session = await _run_admitted(writer.context, permit, prompt, max_tokens, writer.emit)
             await writer.finish(session)
             record_code(writer.context, ResultCode.OK)
         except ProblemError as error:
-            record_problem(writer.context, error.problem, writer.label.request_id)
+            record_problem(writer.context, error.problem, writer.metadata.request_id)
             await writer.fail(error.problem, scope, receive)
 
     await cancel_on_disconnect(work, receive)
 
 
-async def _run(
+async def _run_admitted(
     context: EntryContext,
     permit: Permit,
     prompt: str,
     max_tokens: int,
     emit: Callable[[list[str]], Awaitable[None]],
 ) -> Session:
-    bound = min(max_tokens, permit.decision.max_tokens or max_tokens)
+    token_limit = min(max_tokens, permit.decision.max_tokens or max_tokens)
     async with admitted(context, permit):
         request = Generation(
             pipeline=permit.pipeline,
             prompt=prompt,
-            max_tokens=bound,
+            max_tokens=token_limit,
             rank=permit.rank,
             deadline=permit.deadline,
             arrived_at=permit.arrived_at,
@@ -157,7 +157,7 @@
 
 
 async def cancel_on_disconnect(work: Callable[[], Awaitable[None]], receive: Receive) -> None:
-    """Run work, and cancel it if the caller closes the connection."""
+    """Run a task, and cancel it if the caller closes the connection."""
     async with anyio.create_task_group() as tasks:
 
         async def watch() -> None:
@@ -171,12 +171,12 @@
 
 
 def record_code(context: EntryContext, code: ResultCode) -> None:
-    """Count an answer."""
+    """Count an answer with a result code."""
     context.metrics.codes[code.name] += 1
 
 
 def record_problem(context: EntryContext, problem: Problem, request_id: str) -> None:
-    """Count and log a refusal or failure."""
+    """Count and log a refused or failed request."""
     record_code(context, problem.code)
     extra = {
         "request_id": request_id,
--- a/src/ledgeladder/daemons/entry/attempt.py
+++ b/src/ledgeladder/daemons/entry/attempt.py
@@ -26,7 +26,7 @@
 from ..clock import now
 from ..limit_keeper import record_advertised_rate
 from .context import limit_keeper_of
-from .metrics import record
+from .metrics import record_duration
 from .watching import responds_to_probe
 
 if TYPE_CHECKING:
@@ -281,12 +281,12 @@
     metrics = context.metrics
     metrics.tokens += len(texts)
     if len(session.tokens) == len(texts):
-        record(metrics.first_token, gap)
+        record_duration(metrics.first_token, gap)
         record_gap(context.first_pace, gap)
     elif progress.recovering:
-        record(metrics.recovery, gap)
+        record_duration(metrics.recovery, gap)
     else:
-        record(metrics.token_gap, gap / len(texts))
+        record_duration(metrics.token_gap, gap / len(texts))
         record_gap(progress.pace, gap)
     progress.recovering = False
     progress.last_token_at = at
--- a/src/ledgeladder/daemons/entry/caller_api.py
+++ b/src/ledgeladder/daemons/entry/caller_api.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface of an entry box."""
+"""HTTP API of an entry box for callers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     record_code,
     record_problem,
 )
-from .caller_models import AnswerLabel, ChatBody, CompletionBody, chat_prompt
+from .caller_models import AnswerMetadata, ChatBody, CompletionBody, chat_prompt
 from .checks import admitted, check_configured, find_account, make_permit, read_body, refusal
 from .crashes import refuse_quarantined
 from .metrics import metrics_page
@@ -73,10 +73,10 @@
         return Response("live\n")
 
     async def ready(request: Request) -> Response:
-        good = context.synced.is_set() and not context.stopping
-        word = "ready" if good else "not ready"
-        text = f"{word}, version {context.configuration.version}\n"
-        return Response(text, status_code=200 if good else 503)
+        is_ready = context.synced.is_set() and not context.stopping
+        state = "ready" if is_ready else "not ready"
+        text = f"{state}, version {context.configuration.version}\n"
+        return Response(text, status_code=200 if is_ready else 503)
 
     async def metrics(request: Request) -> Response:
         page = metrics_page(context.metrics) | {
@@ -104,7 +104,7 @@
 
 
 def parse_body(model: type[_Body], content: bytes) -> _Body:
-    """Check the body of a request.
+    """Parse and validate the body of a request.
 
     Raises:
         ProblemError: With code MALFORMED_REQUEST, naming the field.
@@ -151,7 +151,7 @@
             writer = AnswerWriter(
                 context=context,
                 send=send,
-                label=AnswerLabel(
+                metadata=AnswerMetadata(
                     request_id=request_id,
                     model=body.model,
                     created=int(time.time()),
@@ -198,7 +198,7 @@
             context.in_progress -= 1
 
     async def run(self, content: bytes) -> Response:
-        """Check and run the call."""
+        """Check the call and run it."""
         context, request = self.context, self.request
         check_configured(context)
         account = find_account(context, request)
--- a/src/ledgeladder/daemons/entry/caller_models.py
+++ b/src/ledgeladder/daemons/entry/caller_models.py
@@ -1,4 +1,4 @@
-"""What callers send, checked at the border."""
+"""Models of request bodies from callers, and of the objects in answers."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 import msgspec
 from pydantic import BaseModel, ConfigDict, Field
 
-MODEL_LENGTH_LIMIT = 63
+MAX_MODEL_LENGTH = 63
 
 
 class _CallerBody(BaseModel):
-    # Clients of such interfaces send many options; those without meaning here are passed over.
+    # Clients of compatible APIs send options that are not supported here. They are ignored.
     model_config = ConfigDict(extra="ignore", frozen=True)
 
-    model: Annotated[str, Field(min_length=1, max_length=MODEL_LENGTH_LIMIT)]
+    model: Annotated[str, Field(min_length=1, max_length=MAX_MODEL_LENGTH)]
     """Name of the pipeline."""
 
     max_tokens: Annotated[int, Field(ge=1, le=100_000)] = 16
-    """Most tokens of the answer."""
+    """Maximum number of tokens of the answer."""
 
     stream: bool = False
     """True for server-sent events."""
@@ -37,26 +37,26 @@
     model_config = ConfigDict(extra="ignore", frozen=True)
 
     role: Annotated[str, Field(min_length=1, max_length=32)]
-    """Who speaks."""
+    """Role of the author."""
 
     content: str
-    """What is said."""
+    """Text of the message."""
 
 
 class ChatBody(_CallerBody):
     """Body of `POST /v1/chat/completions`."""
 
     messages: Annotated[tuple[ChatMessage, ...], Field(min_length=1, max_length=1000)]
-    """The conversation."""
+    """Messages of the conversation, oldest first."""
 
 
 def chat_prompt(body: ChatBody) -> str:
-    """Write a conversation as one prompt."""
+    """Format a conversation as one prompt."""
     return "\n".join(f"{message.role}: {message.content}" for message in body.messages)
 
 
-class AnswerLabel(msgspec.Struct, frozen=True, kw_only=True):
-    """What every object of one answer repeats."""
+class AnswerMetadata(msgspec.Struct, frozen=True, kw_only=True):
+    """Fields that every object of an answer repeats."""
 
     request_id: str
     """Id of the request."""
@@ -65,32 +65,34 @@
     """Name of the pipeline."""
 
     created: int
-    """When the answer was begun, in seconds since 1970."""
+    """Time at which the answer was started, in seconds since 1970."""
 
     chat: bool
-    """True for the chat shape."""
+    """True for the format of chat completions."""
 
 
-def answer_object(label: AnswerLabel, text: str, finish: str | None) -> dict[str, Any]:
-    """Build a whole answer in the shape that clients of such interfaces read."""
-    content = {"message": {"role": "assistant", "content": text}} if label.chat else {"text": text}
-    return _object(label, "chat.completion", content, finish)
+def answer_object(metadata: AnswerMetadata, text: str, finish: str | None) -> dict[str, Any]:
+    """Build a complete answer in the format of the compatible API."""
+    content = (
+        {"message": {"role": "assistant", "content": text}} if metadata.chat else {"text": text}
+    )
+    return _object(metadata, "chat.completion", content, finish)
 
 
-def chunk_object(label: AnswerLabel, text: str, finish: str | None) -> dict[str, Any]:
+def chunk_object(metadata: AnswerMetadata, text: str, finish: str | None) -> dict[str, Any]:
     """Build one event of a streamed answer."""
     delta = {"content": text} if text else {}
-    content: dict[str, Any] = {"delta": delta} if label.chat else {"text": text}
-    return _object(label, "chat.completion.chunk", content, finish)
+    content: dict[str, Any] = {"delta": delta} if metadata.chat else {"text": text}
+    return _object(metadata, "chat.completion.chunk", content, finish)
 
 
 def _object(
-    label: AnswerLabel, chat_kind: str, content: dict[str, Any], finish: str | None
+    metadata: AnswerMetadata, chat_kind: str, content: dict[str, Any], finish: str | None
 ) -> dict[str, Any]:
     return {
-        "id": label.request_id,
-        "object": chat_kind if label.chat else "text_completion",
-        "created": label.created,
-        "model": label.model,
+        "id": metadata.request_id,
+        "object": chat_kind if metadata.chat else "text_completion",
+        "created": metadata.created,
+        "model": metadata.model,
         "choices": [{"index": 0, "finish_reason": finish} | content],
     }
--- a/src/ledgeladder/daemons/entry/checks.py
+++ b/src/ledgeladder/daemons/entry/checks.py
@@ -16,7 +16,7 @@
 from ...routing.admission import DEFAULT_RANK, Ticket, expected_wait, finish, submit
 from ...routing.policy import Decision, RequestFacts, evaluate_policy
 from ..clock import now
-from .metrics import record
+from .metrics import record_duration
 
 if TYPE_CHECKING:
     from starlette.requests import Request
@@ -208,7 +208,7 @@
     try:
         if not ticket.admitted:
             await _wait_for_turn(context, ticket)
-        record(context.metrics.queue, now() - ticket.arrived_at)
+        record_duration(context.metrics.queue, now() - ticket.arrived_at)
         yield
     finally:
         for released in finish(context.admission, ticket, now()):
--- a/src/ledgeladder/daemons/entry/main.py
+++ b/src/ledgeladder/daemons/entry/main.py
@@ -1,4 +1,4 @@
-"""The entry process: callers on one side, upstreams on the other."""
+"""Entry process: builds its state and supervises its tasks."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 logger = logging.getLogger(__name__)
 
-STOP_POLL_SECONDS: Final = 0.05
+STOP_POLL_INTERVAL_SECONDS: Final = 0.05
 
 
 def build_context(settings: EntrySettings, background: TaskGroup) -> EntryContext:
@@ -84,7 +84,7 @@
 
 
 async def run_entry(settings: EntrySettings) -> None:
-    """Run an entry process until it is told to stop.
+    """Run an entry process until a stop signal.
 
     Args:
         settings: Its settings.
@@ -147,7 +147,7 @@
             restart=Restart.ALWAYS,
         )
 
-    async def neighbour(link: Link) -> None:
+    async def serve_link(link: Link) -> None:
         await serve_neighbour(context, link)
 
     return [
@@ -162,7 +162,7 @@
         ),
         Child(
             name="links",
-            run=lambda: serve_links(settings.entry.link_address, identity, neighbour),
+            run=lambda: serve_links(settings.entry.link_address, identity, serve_link),
             restart=Restart.ALWAYS,
         ),
         log_child(),
@@ -199,7 +199,7 @@
 
 
 async def _stop(context: EntryContext, stop: anyio.Event) -> None:
-    """Stop without cutting a request: fail readiness, serve on, stop listening, finish."""
+    """Stop without cancelling requests: fail readiness, keep serving, stop listening, drain."""
     settings = context.settings.entry
     context.stopping = True
     logger.info("planned stop", extra={"in_progress": context.in_progress})
@@ -207,6 +207,6 @@
     stop.set()
     with anyio.move_on_after(settings.stop_limit_seconds):
         while context.in_progress:
-            await anyio.sleep(STOP_POLL_SECONDS)
-    # The last answers are still being written by the HTTP server.
-    await anyio.sleep(STOP_POLL_SECONDS)
+            await anyio.sleep(STOP_POLL_INTERVAL_SECONDS)
+    # The HTTP server may still be writing the last answers.
+    await anyio.sleep(STOP_POLL_INTERVAL_SECONDS)
--- a/src/ledgeladder/daemons/entry/metrics.py
+++ b/src/ledgeladder/daemons/entry/metrics.py
@@ -8,18 +8,18 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-LOWEST_MICROSECONDS: Final = 10
-HIGHEST_MICROSECONDS: Final = 600_000_000
+MIN_MICROSECONDS: Final = 10
+MAX_MICROSECONDS: Final = 600_000_000
 SIGNIFICANT_DIGITS: Final = 2
 QUANTILES: Final = (50.0, 95.0, 99.0, 100.0)
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS)
+    return HdrHistogram(MIN_MICROSECONDS, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
 
 
 class EntryMetrics(msgspec.Struct, kw_only=True):
-    """What an entry box counts and times."""
+    """Counters and histograms of an entry box; durations are in microseconds."""
 
     first_token: HdrHistogram = msgspec.field(default_factory=_histogram)
     """Time from arrival to the first token."""
@@ -28,7 +28,7 @@
     """Time between arrivals of tokens from the engines."""
 
     recovery: HdrHistogram = msgspec.field(default_factory=_histogram)
-    """Gap in a stream in which a stage was replaced."""
+    """Gap between tokens during which a stage was replaced."""
 
     queue: HdrHistogram = msgspec.field(default_factory=_histogram)
     """Time in the admission queue."""
@@ -37,10 +37,10 @@
     """Answers by result code."""
 
     events: Counter[str] = msgspec.field(default_factory=Counter)
-    """Retries, replaced stages, dropped frames, false alarms and the like."""
+    """Other events by name, such as retries, replaced stages and dropped frames."""
 
     tokens: int = 0
-    """Tokens passed on to callers."""
+    """Tokens forwarded to callers."""
 
     gossip_bytes_sent: int = 0
     """Bytes of membership datagrams sent."""
@@ -49,14 +49,14 @@
     """Bytes of membership datagrams received."""
 
 
-def record(histogram: HdrHistogram, seconds: float) -> None:
-    """Record a duration, cut to the histogram's range."""
+def record_duration(histogram: HdrHistogram, seconds: float) -> None:
+    """Record a duration, clamped to the range of the histogram."""
     microseconds = int(seconds * 1e6)
-    histogram.record_value(min(max(microseconds, LOWEST_MICROSECONDS), HIGHEST_MICROSECONDS))
+    histogram.record_value(min(max(microseconds, MIN_MICROSECONDS), MAX_MICROSECONDS))
 
 
 def summarize(histogram: HdrHistogram) -> dict[str, float]:
-    """Return count and quantiles in seconds."""
+    """Return the count, and quantiles in seconds."""
     summary: dict[str, float] = {"count": histogram.get_total_count()}
     for quantile in QUANTILES:
         value = histogram.get_value_at_percentile(quantile) / 1e6
@@ -65,7 +65,7 @@
 
 
 def metrics_page(metrics: EntryMetrics) -> dict[str, Any]:
-    """Return the metrics page."""
+    """Return the content of the metrics page."""
     return {
         "first_token_seconds": summarize(metrics.first_token),
         "token_gap_seconds": summarize(metrics.token_gap),
--- a/src/ledgeladder/daemons/entry/service_calls.py
+++ b/src/ledgeladder/daemons/entry/service_calls.py
@@ -141,7 +141,7 @@
         raise ServiceCallError(Execution.UNKNOWN, "the deadline passed") from error
     except ServiceCallError as error:
         record_advertised_rate(
-            limiter, name, error.named_rate, sent_at, is_own=error.backoff_seconds is not None
+            limiter, name, error.advertised_rate, sent_at, is_own=error.backoff_seconds is not None
         )
         if error.backoff_seconds is None:
             record_failure(view, now())
@@ -154,7 +154,7 @@
         raise
     finally:
         view.in_flight -= 1
-    record_advertised_rate(limiter, name, answer.named_rate, sent_at, is_own=True)
+    record_advertised_rate(limiter, name, answer.advertised_rate, sent_at, is_own=True)
     if answer.backoff_seconds is not None:
         record_backoff(view, answer.backoff_seconds, now())
     record_success(view)
--- a/src/ledgeladder/upstreams/__init__.py
+++ b/src/ledgeladder/upstreams/__init__.py
@@ -1,3 +1,3 @@
-"""Ports to everything outside: engines, plain services, the platform."""
+"""Clients for engines, plain services and the platform."""
 
 from __future__ import annotations
--- a/src/ledgeladder/upstreams/box_list.py
+++ b/src/ledgeladder/upstreams/box_list.py
@@ -1,4 +1,4 @@
-"""The port to the platform's list of live and leaving upstreams, which lags."""
+"""Client for the platform's list of live and draining upstreams, which may be out of date."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class BoxList(msgspec.Struct, frozen=True, kw_only=True):
-    """The list, by address."""
+    """Addresses of live and of draining upstreams."""
 
     live: tuple[str, ...] = ()
     leaving: tuple[str, ...] = ()
 
 
-READ_SECONDS = 1.0
-"""How long the platform may take to answer."""
+READ_TIMEOUT_SECONDS = 1.0
+"""Timeout for reading the list."""
 
 
 async def read_box_list(client: httpx.AsyncClient, url: str) -> BoxList | None:
@@ -23,13 +23,13 @@
 
     Args:
         client: HTTP client.
-        url: Page of the list.
+        url: URL of the list.
 
     Returns:
-        The list, or None if it cannot be read; the last one then stays in use.
+        The list, or None if it cannot be read. The caller then keeps the previous one.
     """
     try:
-        with anyio.fail_after(READ_SECONDS):
+        with anyio.fail_after(READ_TIMEOUT_SECONDS):
             response = await client.get(url)
         return msgspec.json.decode(response.content, type=BoxList)
     except (httpx.HTTPError, TimeoutError, msgspec.DecodeError):
--- a/src/ledgeladder/upstreams/engine.py
+++ b/src/ledgeladder/upstreams/engine.py
@@ -1,8 +1,8 @@
-"""The port to model engines: HTTP with one JSON object a line.
+"""Client for model engines, over HTTP with newline-delimited JSON.
 
-The entry sends the head of a route one request that carries the whole route. The stages pass
-activations on among themselves, and the head streams the tokens back. Nothing else in the package
-knows how engines are spoken to.
+The entry sends one request with the whole route to the head of the route. The stages forward
+activations among themselves, and the head streams the tokens back. The protocol of engines is known
+to this module only.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from ..http1.backpressure import raise_for_backoff, read_backoff
 from ..routing.session import ReceiptStage, TokenFrame
-from .fields import named_rate, raw_fields
+from .fields import advertised_rate, raw_fields
 
 if TYPE_CHECKING:
     from ..coordination.orders import Assignment
@@ -32,31 +32,30 @@
 LOAD_PATH: Final = "/stage/v1/load"
 ORDER_PATH: Final = "/stage/v1/orders"
 
-CONNECT_SECONDS: Final = 0.5
-CANCEL_SECONDS: Final = 10.0
-"""How long an engine is told to drop a request that it does not take; engines forget what nobody
-asks for some time later."""
+CANCEL_REQUEST_TIMEOUT_SECONDS: Final = 0.5
+CANCEL_TIMEOUT_SECONDS: Final = 10.0
+"""Time for which a cancellation is retried. Engines drop abandoned requests by themselves later."""
 
-CANCEL_PAUSE_SECONDS: Final = 0.5
-"""Pause before it is told again; doubled each time."""
+CANCEL_RETRY_DELAY_SECONDS: Final = 0.5
+"""Delay before the first retry of a cancellation; doubled for each further one."""
 
-PROBE_SECONDS: Final = 0.4
-"""How long a live engine may take to answer a probe or to tell its load."""
+PROBE_TIMEOUT_SECONDS: Final = 0.4
+"""Timeout for a probe or a load report."""
 
-ORDER_SECONDS: Final = 1.0
-"""How long an engine may take to answer an order; loading goes on after the answer."""
+ORDER_TIMEOUT_SECONDS: Final = 1.0
+"""Timeout for the answer to an order. The engine loads the layers after its answer."""
 
-LINE_LIMIT: Final = 1024 * 1024
-"""Longest line that an engine may send, in bytes."""
+MAX_LINE_BYTES: Final = 1024 * 1024
+"""Maximum length of a line from an engine."""
 
-REFUSED_STATUS: Final = (409, 429, 503)
-"""Statuses with which an engine refuses before it starts."""
+REFUSAL_STATUSES: Final = (409, 429, 503)
+"""HTTP statuses with which an engine refuses a request before it starts."""
 
 OK_STATUS: Final = 200
 
 
 class RouteStage(msgspec.Struct, frozen=True, kw_only=True):
-    """One stage as the engines are told of it."""
+    """One stage of the route in a request to the head."""
 
     upstream: str
     address: str
@@ -65,40 +64,40 @@
 
 
 class RunRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Ask the head of a route to start or continue a request."""
+    """Request to the head of a route to start or continue a generation."""
 
     session: str
     attempt: int
     model: str
     prompt: str
     tokens: tuple[int, ...]
-    """Tokens accepted so far; the next position is their number."""
+    """Tokens accepted so far. Their number is the position of the next one."""
 
     max_tokens: int
     rank: int
-    """Rank of the request's priority, 0 first."""
+    """Rank of the request's priority; 0 is served first."""
 
     route: tuple[RouteStage, ...]
 
 
 class CancelRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Ask a stage to drop what it holds for a request, up to an attempt."""
+    """Request to a stage to drop its state of a session, up to and including an attempt."""
 
     session: str
     attempt: int
 
 
 class LostFrame(msgspec.Struct, frozen=True, kw_only=True, tag="lost", tag_field="type"):
-    """The head could not get on because of a stage."""
+    """Frame with which the head reports that a stage failed or refused."""
 
     session: str
     attempt: int
     upstream: str
     refused: bool = False
-    """True if the stage is alive and refused the work."""
+    """True if the stage is alive and refused the request."""
 
     leaving: bool = False
-    """True if it refused because it is leaving."""
+    """True if it refused because it is draining."""
 
 
 EngineFrame = TokenFrame | LostFrame
@@ -107,7 +106,7 @@
 
 
 class RefusalBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Body with which an engine refuses before it starts."""
+    """Body of a refusal of an engine, before it starts a request."""
 
     reason: str = ""
     leaving: bool = False
@@ -119,9 +118,9 @@
     def __init__(self, body: RefusalBody, *, backoff_seconds: float | None = None) -> None:
         super().__init__(body.reason)
         self.body = body
-        """What the engine said."""
+        """Body of the refusal."""
         self.backoff_seconds = backoff_seconds
-        """How long it wants nothing more from this box, if it said so."""
+        """Back-off that the engine requested, in seconds; None if it requested none."""
 
 
 class EngineLostError(Exception):
@@ -129,11 +128,11 @@
 
 
 class EngineUnreachableError(EngineLostError):
-    """No connection to the head came up, so that nothing was sent."""
+    """No connection to the head was established, so nothing was sent."""
 
 
 class OrderRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Order an engine to hold layers of a model version; the fence is (term, index)."""
+    """Order to an engine to hold layers of a model version; the fence is (term, index)."""
 
     term: int
     index: int
@@ -164,15 +163,15 @@
         order: The order.
 
     Returns:
-        True if the engine holds what was ordered, False if it refused the fence or is at it, None
-        if it did not answer.
+        True if the engine holds the ordered layers, False if it refused the fence or is still
+        loading, None if it did not answer.
 
     Raises:
-        BackoffRequestedError: If it asks for rest.
+        BackoffRequestedError: If it requests back-off.
     """
     url = f"http://{address}{ORDER_PATH}"
     try:
-        with anyio.fail_after(ORDER_SECONDS):
+        with anyio.fail_after(ORDER_TIMEOUT_SECONDS):
             response = await client.post(url, content=msgspec.json.encode(order))
     except (httpx.HTTPError, TimeoutError):
         return None
@@ -181,7 +180,7 @@
 
 
 class EngineLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """Load as an engine reports it, with a lag."""
+    """Load that an engine reports; it may be out of date."""
 
     running: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
     leaving: bool = False
@@ -223,34 +222,34 @@
 async def run_on_engine(
     client: httpx.AsyncClient,
     request: RunRequest,
-    note_rate: Callable[[AdvertisedRate | None], None] = lambda _named: None,
+    record_rate: Callable[[AdvertisedRate | None], None] = lambda _named: None,
 ) -> AsyncGenerator[list[EngineFrame], None]:
-    """Run a request and yield the frames that each read brings.
+    """Run a request and yield the frames of each read.
 
     Args:
-        client: HTTP client without a read time-out; the caller watches progress.
+        client: HTTP client without a read timeout; the caller monitors progress.
         request: The request.
-        note_rate: Takes the rate that the answer of the head names, or None.
+        record_rate: Called with the rate that the head's answer advertises, or None.
 
     Yields:
         Frames in the order in which the head sent them.
 
     Raises:
         EngineRefusedError: If the head refused before it started.
-        EngineUnreachableError: If no connection came up.
-        EngineLostError: If the connection ended early, or brought something malformed.
+        EngineUnreachableError: If no connection was established.
+        EngineLostError: If the connection ended early, or a frame is malformed.
     """
     url = f"http://{request.route[0].address}{RUN_PATH}"
     try:
         async with client.stream("POST", url, content=msgspec.json.encode(request)) as response:
-            note_rate(named_rate(response))
+            record_rate(advertised_rate(response))
             if response.status_code != OK_STATUS:
                 await _raise_for_status(response)
-            rest = b""
+            remainder = b""
             async for chunk in response.aiter_raw():
-                lines = (rest + chunk).split(b"\n")
-                rest = lines.pop()
-                if len(rest) > LINE_LIMIT:
+                lines = (remainder + chunk).split(b"\n")
+                remainder = lines.pop()
+                if len(remainder) > MAX_LINE_BYTES:
                     raise EngineLostError("line too long")
                 frames = [_FRAME_DECODER.decode(line) for line in lines if line]
                 if frames:
@@ -265,7 +264,7 @@
 
 async def _raise_for_status(response: httpx.Response) -> None:
     content = await response.aread()
-    if response.status_code not in REFUSED_STATUS:
+    if response.status_code not in REFUSAL_STATUSES:
         raise EngineLostError(f"status {response.status_code}")
     try:
         body = msgspec.json.decode(content, type=RefusalBody)
@@ -277,49 +276,52 @@
 
 
 async def cancel_on_engine(client: httpx.AsyncClient, address: str, request: CancelRequest) -> None:
-    """Tell an engine to drop a request, again and again until it has taken it.
+    """Cancel a request on an engine, with retries until the engine confirms.
 
-    One that stands still takes it once it goes on; until then the request keeps its memory. One
-    that has ended holds nothing.
+    A suspended engine keeps the memory of the request until it resumes and handles the
+    cancellation. An engine that has exited holds no state, so it gets no retry.
 
     Args:
         client: HTTP client.
         address: `host:port` of the engine.
-        request: The request.
+        request: The cancellation.
     """
-    pause = CANCEL_PAUSE_SECONDS
-    with anyio.move_on_after(CANCEL_SECONDS):
-        while not await _is_cancelled(client, address, request):
-            await anyio.sleep(pause)
-            pause *= 2
+    delay = CANCEL_RETRY_DELAY_SECONDS
+    with anyio.move_on_after(CANCEL_TIMEOUT_SECONDS):
+        while not await _try_cancel(client, address, request):
+            await anyio.sleep(delay)
+            delay *= 2
         return
     logger.warning(
-        "cancellation not taken", extra={"address": address, "request_id": request.session}
+        "cancellation timed out", extra={"address": address, "request_id": request.session}
     )
 
 
-async def _is_cancelled(client: httpx.AsyncClient, address: str, request: CancelRequest) -> bool:
-    """Tell an engine once to drop a request; returns True if it needs not be told again."""
+async def _try_cancel(client: httpx.AsyncClient, address: str, request: CancelRequest) -> bool:
+    """Send a cancellation once; return True if no retry is needed."""
     url = f"http://{address}{CANCEL_PATH}"
     try:
-        with anyio.fail_after(CONNECT_SECONDS):
+        with anyio.fail_after(CANCEL_REQUEST_TIMEOUT_SECONDS):
             await client.post(url, content=msgspec.json.encode(request))
     except httpx.ConnectError as error:
-        logger.info("nobody to cancel on", extra={"address": address, "reason": str(error)})
+        logger.info(
+            "connection refused; nothing to cancel",
+            extra={"address": address, "reason": str(error)},
+        )
     except (httpx.HTTPError, TimeoutError):
         return False
     return True
 
 
 async def is_live(
-    client: httpx.AsyncClient, address: str, *, seconds: float = PROBE_SECONDS
+    client: httpx.AsyncClient, address: str, *, seconds: float = PROBE_TIMEOUT_SECONDS
 ) -> bool:
-    """Ask an engine for a sign of life.
+    """Probe an engine.
 
     Args:
         client: HTTP client.
         address: `host:port` of the engine.
-        seconds: How long it may take.
+        seconds: Timeout.
 
     Returns:
         False if it does not answer in time.
@@ -340,13 +342,13 @@
         address: `host:port` of the engine.
 
     Returns:
-        The report, or None if there is none or it is absurd.
+        The report, or None if there is none or it is malformed.
 
     Raises:
-        BackoffRequestedError: If it asks for rest.
+        BackoffRequestedError: If it requests back-off.
     """
     try:
-        with anyio.fail_after(PROBE_SECONDS):
+        with anyio.fail_after(PROBE_TIMEOUT_SECONDS):
             response = await client.get(f"http://{address}{LOAD_PATH}")
         raise_for_backoff(response.status_code, raw_fields(response))
         return msgspec.json.decode(response.content, type=EngineLoad)
--- a/src/ledgeladder/upstreams/fields.py
+++ b/src/ledgeladder/upstreams/fields.py
@@ -1,4 +1,4 @@
-"""Header fields of answers as the package's own HTTP client gives them."""
+"""Header fields of answers that the HTTP client received."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
     from ..model.exchange import AdvertisedRate
 
 RATE_HEADER: Final = b"ledgeladder-rate-limit"
-"""Field in which an upstream names how many requests a second it takes from all boxes together."""
+"""Header field in which an upstream advertises its rate for all boxes together, in requests per
+second."""
 
 
 def raw_fields(response: httpx.Response) -> list[tuple[bytes, bytes]]:
-    """Return the header fields of an answer with lower-case names, in order, none joined."""
+    """Return the header fields of an answer in order, with lower-case names and not joined."""
     return [(name.lower(), value) for name, value in response.headers.raw]
 
 
-def named_rate(response: httpx.Response) -> AdvertisedRate | None:
-    """Return the rate that an answer names; None if it names none."""
+def advertised_rate(response: httpx.Response) -> AdvertisedRate | None:
+    """Return the rate that an answer advertises; None if it advertises none."""
     return read_rate(RATE_HEADER, raw_fields(response))
--- a/src/ledgeladder/upstreams/service.py
+++ b/src/ledgeladder/upstreams/service.py
@@ -1,4 +1,4 @@
-"""The port to plain services: one HTTP request and one whole answer."""
+"""Client for plain services: one HTTP request, one complete answer."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from ..http1.backpressure import read_backoff
 from ..model import EXECUTION_HEADER, Execution
-from .fields import named_rate, raw_fields
+from .fields import advertised_rate, raw_fields
 
 if TYPE_CHECKING:
     from ..model.exchange import AdvertisedRate
 
-ANSWER_LIMIT: Final = 16 * 1024 * 1024
-"""Longest answer of a service, in bytes."""
+MAX_ANSWER_BYTES: Final = 16 * 1024 * 1024
+"""Maximum length of an answer body."""
 
 
 class ServiceCall(msgspec.Struct, frozen=True, kw_only=True):
@@ -25,7 +25,7 @@
     """HTTP method."""
 
     path: str
-    """Path below the root of the service."""
+    """Path relative to the root of the service."""
 
     content_type: str
     """Content type of the body."""
@@ -34,7 +34,7 @@
     """Request body."""
 
     key: str
-    """Idempotency key, or empty."""
+    """Idempotency key; empty if there is none."""
 
 
 class ServiceAnswer(msgspec.Struct, frozen=True, kw_only=True):
@@ -50,14 +50,14 @@
     """Answer body."""
 
     backoff_seconds: float | None = None
-    """How long the service wants nothing more from this box, if it said so."""
+    """Back-off that the service requested, in seconds; None if it requested none."""
 
-    named_rate: AdvertisedRate | None = None
-    """Requests a second that it takes from all boxes together, if it names any."""
+    advertised_rate: AdvertisedRate | None = None
+    """Rate that it advertises for all boxes together; None if it advertises none."""
 
 
 class ServiceCallError(Exception):
-    """A call that brought no answer."""
+    """A call without an answer."""
 
     def __init__(
         self,
@@ -65,15 +65,15 @@
         detail: str,
         *,
         backoff_seconds: float | None = None,
-        named_rate: AdvertisedRate | None = None,
+        advertised_rate: AdvertisedRate | None = None,
     ) -> None:
         super().__init__(detail)
         self.execution = execution
         """Whether the service may have run the call."""
         self.backoff_seconds = backoff_seconds
-        """How long the service wants nothing more from this box, if it said so."""
-        self.named_rate = named_rate
-        """Requests a second that it takes from all boxes together, if it names any."""
+        """Back-off that the service requested, in seconds; None if it requested none."""
+        self.advertised_rate = advertised_rate
+        """Rate that it advertises for all boxes together; None if it advertises none."""
 
 
 async def call_service(client: httpx.AsyncClient, address: str, call: ServiceCall) -> ServiceAnswer:
@@ -88,7 +88,7 @@
         The answer, whatever its status.
 
     Raises:
-        ServiceCallError: With NOT_RUN only if no byte was sent or the service itself said so.
+        ServiceCallError: With NOT_RUN only if nothing was sent or the service reported it.
     """
     headers = {"content-type": call.content_type}
     if call.key:
@@ -99,23 +99,26 @@
             body = bytearray()
             async for chunk in response.aiter_bytes():
                 body += chunk
-                if len(body) > ANSWER_LIMIT:
+                if len(body) > MAX_ANSWER_BYTES:
                     raise ServiceCallError(Execution.RAN, "the answer is too long")
     except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as error:
         raise ServiceCallError(Execution.NOT_RUN, str(error)) from error
     except httpx.HTTPError as error:
         raise ServiceCallError(Execution.UNKNOWN, f"{type(error).__name__}: {error}") from error
-    rest = read_backoff(response.status_code, raw_fields(response))
+    backoff = read_backoff(response.status_code, raw_fields(response))
     if response.headers.get(EXECUTION_HEADER) == Execution.NOT_RUN.value:
         detail = f"refused with status {response.status_code}"
         raise ServiceCallError(
-            Execution.NOT_RUN, detail, backoff_seconds=rest, named_rate=named_rate(response)
+            Execution.NOT_RUN,
+            detail,
+            backoff_seconds=backoff,
+            advertised_rate=advertised_rate(response),
         )
     content_type = response.headers.get("content-type", "application/octet-stream")
     return ServiceAnswer(
         status=response.status_code,
         content_type=content_type,
         body=bytes(body),
-        backoff_seconds=rest,
-        named_rate=named_rate(response),
+        backoff_seconds=backoff,
+        advertised_rate=advertised_rate(response),
     )
--- a/tests/upstreams/test_engine.py
+++ b/tests/upstreams/test_engine.py
@@ -20,8 +20,8 @@
 ) -> None:
     """The pattern: a stage is suspended, or busy, when a caller leaves. Told once and in vain, it
     held the request until it forgot it by itself, half a minute later."""
-    monkeypatch.setattr(engine, "CONNECT_SECONDS", 0.05)
-    monkeypatch.setattr(engine, "CANCEL_PAUSE_SECONDS", 0.01)
+    monkeypatch.setattr(engine, "CANCEL_REQUEST_TIMEOUT_SECONDS", 0.05)
+    monkeypatch.setattr(engine, "CANCEL_RETRY_DELAY_SECONDS", 0.01)
     told: list[bytes] = []
 
     async def play() -> None:
@@ -45,7 +45,7 @@
 
 
 def test_engine_that_has_ended_is_told_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine, "CANCEL_PAUSE_SECONDS", 3600.0)
+    monkeypatch.setattr(engine, "CANCEL_RETRY_DELAY_SECONDS", 3600.0)
 
     async def play() -> None:
         listener = await create_tcp_listener(local_host="127.0.0.1")
