--- a/src/ledgeladder/daemons/__init__.py
+++ b/src/ledgeladder/daemons/__init__.py
@@ -1,3 +1,3 @@
-"""The daemons: wiring of the parts to sockets, files and clocks."""
+"""The daemons, which connect the other packages to sockets, files and clocks."""
 
 from __future__ import annotations
--- a/src/ledgeladder/daemons/clock.py
+++ b/src/ledgeladder/daemons/clock.py
@@ -1,4 +1,4 @@
-"""The two clocks of the daemons, and the event loop that keeps time by the first."""
+"""Clocks of the daemons, and an event loop that counts time while the machine is suspended."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 import uvloop
 
 ELAPSED_CLOCK: Final = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""Clock that never steps and goes on while the machine is suspended. The monotonic clock stands
-still then: a box that wakes up would go on with a lease that another one holds meanwhile, and serve
-by a document whose keys were taken away."""
+"""Monotonic clock that includes the time during which the machine is suspended. With
+CLOCK_MONOTONIC, a box that resumes would still trust a lease that another box now holds, or a
+document whose keys have been revoked."""
 
 
 def now() -> float:
-    """Return the time that has passed since the machine started, in seconds."""
+    """Return the time since the machine started, in seconds."""
     return time.clock_gettime(ELAPSED_CLOCK)
 
 
 def wall_clock_ms() -> int:
-    """Return the wall clock in milliseconds since 1970, for stamping commands and reports."""
+    """Return the wall clock in milliseconds since 1970, for timestamps of commands and reports."""
     return time.time_ns() // 1_000_000
 
 
 class ElapsedTimeLoop(uvloop.Loop):
-    """Event loop whose time goes on while the machine is suspended.
+    """Event loop whose time includes suspension of the machine.
 
-    Deadlines, leases and ages are kept by it, as `anyio.current_time()` returns it. A timer that is
-    due when the machine wakes up fires after what was left of it, late by no more than that.
+    `anyio.current_time()` returns its time, which deadlines, leases and ages use. A timer that
+    expires during suspension fires late, by at most its remaining time at the suspension.
     """
 
     def time(self) -> float:
--- a/src/ledgeladder/daemons/engine_call.py
+++ b/src/ledgeladder/daemons/engine_call.py
@@ -1,4 +1,4 @@
-"""Sending calls to engines beside requests, from gateways and registries."""
+"""Management calls to engines, from gateways and registries."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     from ..coordination.engine_orders import EngineCall, EngineReport
     from ..http1 import UpstreamConnection
 
-REPORT_LIMIT_BYTES: Final = 65536
-"""Longest report that is read."""
+MAX_REPORT_BYTES: Final = 65536
+"""Size after which reading a report stops."""
 
 
 async def send_call(connection: UpstreamConnection, call: EngineCall) -> h11.Response:
@@ -25,8 +25,8 @@
         call: The call.
 
     Raises:
-        AnswerBrokenError: If no whole head comes.
-        BackoffRequestedError: If the engine asks for rest.
+        AnswerBrokenError: If the head of the answer is truncated or invalid.
+        BackoffRequestedError: If the engine requests back-off.
     """
     headers = [(b"Host", connection.address.encode()), *call.headers]
     await send_request(connection, call.method, call.target, headers, call.body)
@@ -36,26 +36,26 @@
 
 
 async def fetch_report(address: str, *, source: str, seconds: float) -> EngineReport | None:
-    """Ask an engine for its report over a connection of its own.
+    """Fetch the report of an engine over a new connection.
 
     Args:
         address: `host:port` of the engine.
-        source: IP number of the own box.
-        seconds: How long the connection may take to come up.
+        source: IP address of this box.
+        seconds: Timeout for opening the connection.
 
     Returns:
-        The report, or None if it cannot be read.
+        The report, or None if it is invalid.
 
     Raises:
-        ConnectError: If the engine does not accept a connection.
-        AnswerBrokenError: If the answer ends early.
-        BackoffRequestedError: If the engine asks for rest.
+        ConnectError: If the connection cannot be opened.
+        AnswerBrokenError: If the answer is truncated or invalid.
+        BackoffRequestedError: If the engine requests back-off.
     """
     connection = await connect(address, source=source, seconds=seconds)
     try:
         await send_call(connection, report_call())
         body = b""
-        while (part := await read_part(connection)) is not None and len(body) < REPORT_LIMIT_BYTES:
+        while (part := await read_part(connection)) is not None and len(body) < MAX_REPORT_BYTES:
             body += part
         return read_report(body)
     finally:
--- a/src/ledgeladder/daemons/http.py
+++ b/src/ledgeladder/daemons/http.py
@@ -1,4 +1,4 @@
-"""Serving HTTP with hypercorn, and the shape in which problems are answered."""
+"""HTTP server with hypercorn, client for upstreams, and JSON responses for problems."""
 
 from __future__ import annotations
 
@@ -22,40 +22,40 @@
 """Header with the numbered result code."""
 
 HEADER_LIMIT_BYTES: Final = 32 * 1024
-"""Longest request head."""
+"""Longest accepted request head."""
 
-CONNECT_SECONDS: Final = 0.5
-"""How long connecting to an upstream may take."""
+CONNECT_TIMEOUT_SECONDS: Final = 0.5
+"""Timeout for connecting to an upstream."""
 
-IDLE_SECONDS: Final = 15.0
-"""How long an unused connection to an upstream is kept."""
+KEEP_ALIVE_SECONDS: Final = 15.0
+"""How long an idle connection to an upstream is kept."""
 
 GRACE_SECONDS: Final = 5.0
-"""How long hypercorn waits for open connections once it has been told to stop."""
+"""How long hypercorn waits for open connections during shutdown."""
 
 
 def upstream_client(source_address: str | None) -> httpx.AsyncClient:
-    """Build the HTTP client for upstreams, without a read time-out: callers watch progress.
+    """Build the HTTP client for upstreams, without a read timeout: callers monitor progress.
 
     Args:
-        source_address: IP number that connections come from, or None for the system's choice.
+        source_address: Source IP address; None lets the system choose.
 
     Returns:
         The client.
     """
     limits = httpx.Limits(
-        max_connections=None, max_keepalive_connections=200, keepalive_expiry=IDLE_SECONDS
+        max_connections=None, max_keepalive_connections=200, keepalive_expiry=KEEP_ALIVE_SECONDS
     )
-    # Upstreams speak plain HTTP; loading certificates would cost time and memory at the start.
+    # Upstreams use plain HTTP; loading certificates would cost startup time and memory.
     transport = httpx.AsyncHTTPTransport(
         verify=False, limits=limits, local_address=source_address, trust_env=False
     )
-    timeout = httpx.Timeout(None, connect=CONNECT_SECONDS)
+    timeout = httpx.Timeout(None, connect=CONNECT_TIMEOUT_SECONDS)
     return httpx.AsyncClient(timeout=timeout, transport=transport, trust_env=False)
 
 
 def problem_headers(problem: Problem) -> dict[str, str]:
-    """Return the headers that go with a problem."""
+    """Return the response headers for a problem."""
     headers = {
         CODE_HEADER: str(int(problem.code)),
         EXECUTION_HEADER: problem.known_execution.value,
@@ -66,7 +66,7 @@
 
 
 def problem_body(problem: Problem) -> dict[str, Any]:
-    """Return the JSON body that describes a problem."""
+    """Return the JSON body for a problem."""
     return {
         "error": {
             "code": int(problem.code),
@@ -79,11 +79,11 @@
 
 
 def problem_response(problem: Problem, *, extra: dict[str, Any] | None = None) -> JSONResponse:
-    """Answer with a problem.
+    """Build the response for a problem.
 
     Args:
         problem: The problem.
-        extra: Further keys for the body.
+        extra: Additional keys of the body.
 
     Returns:
         The response.
@@ -93,7 +93,7 @@
 
 
 async def not_found(request: object, error: Exception) -> JSONResponse:
-    """Answer for a page that does not exist, as a Starlette exception handler."""
+    """Handle unknown paths, as a Starlette exception handler."""
     return problem_response(Problem(code=ResultCode.NOT_FOUND, detail="no such page"))
 
 
@@ -104,13 +104,13 @@
     *,
     grace_seconds: float = GRACE_SECONDS,
 ) -> None:
-    """Serve an ASGI application until told to stop.
+    """Serve an ASGI application until stopped.
 
     Args:
         app: The application.
         address: `host:port` to listen on.
-        stop: Set to stop listening.
-        grace_seconds: How long open connections are then waited for.
+        stop: Set to start the shutdown.
+        grace_seconds: How long to wait for open connections during shutdown.
     """
     config = Config()
     config.bind = [address]
--- a/src/ledgeladder/daemons/launch.py
+++ b/src/ledgeladder/daemons/launch.py
@@ -1,4 +1,4 @@
-"""Starting a daemon from its settings file, without the command line's libraries."""
+"""Starting a daemon from its settings file, without the libraries of the command line."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     )
 
     DaemonRun = Callable[[Any, Path], Awaitable[None]]
-    """Runs a daemon with its settings and the file that they came from."""
+    """Runs a daemon with its settings and the path of the settings file."""
 
 EXIT_OK: Final = 0
 EXIT_FAILED: Final = 1
@@ -33,29 +33,29 @@
 EXIT_STORAGE: Final = 3
 
 SETTINGS_VARIABLE: Final = "LEDGELADDER_NODE_FILE"
-"""Path of the settings file where a platform lays it."""
+"""Environment variable with the path of the settings file."""
 
 LOOP_OPTIONS: Final = {"loop_factory": new_event_loop}
 """Options of the event loop of every daemon."""
 
 
-def settings_path(named: str | None) -> Path | None:
-    """Return the settings file to read.
+def settings_path(option: str | None) -> Path | None:
+    """Return the path of the settings file.
 
     Args:
-        named: Path that the command line names, or None.
+        option: Path from the command line, or None.
 
     Returns:
-        That path, else the one that the environment names, else None.
+        That path, else the one from the environment, else None.
     """
-    path = named or os.environ.get(SETTINGS_VARIABLE)
+    path = option or os.environ.get(SETTINGS_VARIABLE)
     return Path(path) if path else None
 
 
 def load_settings(
     loader: Callable[[Path], Result[_Settings, Problem]], path: Path | None
 ) -> Result[_Settings, Problem]:
-    """Load a settings file and set up logging as it says."""
+    """Load a settings file and set up logging accordingly."""
     if path is None:
         return Failure(Problem(code=ResultCode.SETTINGS_INVALID, detail="--settings is missing"))
     loaded = loader(path)
@@ -70,53 +70,53 @@
 
 
 def launch_gateway(path: Path | None) -> int:
-    """Run a gateway process until it is told to stop.
+    """Run a gateway process until it is stopped.
 
     Args:
-        path: Its settings file.
+        path: Path of its settings file.
 
     Returns:
         The exit code.
     """
 
-    def find() -> DaemonRun:
+    def import_daemon() -> DaemonRun:
         from .gateway import run_gateway
 
         return run_gateway
 
-    return _launch(load_gateway_settings, find, path)
+    return _launch(load_gateway_settings, import_daemon, path)
 
 
 def launch_registry(path: Path | None) -> int:
-    """Run a registry process until it is told to stop.
+    """Run a registry process until it is stopped.
 
     Args:
-        path: Its settings file.
+        path: Path of its settings file.
 
     Returns:
         The exit code.
     """
 
-    def find() -> DaemonRun:
+    def import_daemon() -> DaemonRun:
         from .registry import run_registry
 
         return run_registry
 
-    return _launch(load_registry_settings, find, path)
+    return _launch(load_registry_settings, import_daemon, path)
 
 
 def _launch(
     loader: Callable[[Path], Result[Any, Problem]],
-    find: Callable[[], DaemonRun],
+    import_daemon: Callable[[], DaemonRun],
     path: Path | None,
 ) -> int:
     """Load settings and run a daemon with them.
 
     Args:
         loader: Loads the settings.
-        find: Returns what runs the daemon. It imports that: a process loads what its own role needs
-            and nothing else.
-        path: The settings file.
+        import_daemon: Imports and returns the daemon's entry point. The import is deferred, so that
+            a process loads only the modules of its own role.
+        path: Path of the settings file.
 
     Returns:
         The exit code.
@@ -124,7 +124,7 @@
     loaded = load_settings(loader, path)
     if path is None or isinstance(loaded, Failure):
         return fail(loaded.failure(), EXIT_USAGE)
-    run = find()
+    run = import_daemon()
     settings = loaded.unwrap()
     return end_with_problem(lambda: anyio.run(run, settings, path, backend_options=LOOP_OPTIONS))
 
@@ -133,14 +133,14 @@
     "gateway": launch_gateway,
     "registry": launch_registry,
 }
-"""Daemons that need no flags where the environment names their settings file."""
+"""Daemons that need no command-line options if the environment names their settings file."""
 
 
 def end_with_problem(run: Callable[[], Any]) -> int:
-    """Run something to its end; a numbered problem, as with a data folder, becomes an exit code.
+    """Run a function; a `Problem` that it raises is printed and becomes an exit code.
 
     Args:
-        run: What to run.
+        run: The function.
 
     Returns:
         The exit code.
@@ -156,7 +156,7 @@
 
 
 def find_problem(error: BaseException) -> Problem | None:
-    """Find the numbered problem in an error or in a group of errors."""
+    """Return the problem of an error, or the first one in an error group; None without any."""
     if isinstance(error, ProblemError):
         return error.problem
     if isinstance(error, BaseExceptionGroup):
@@ -166,11 +166,11 @@
 
 
 def fail(problem: Problem, status: int) -> int:
-    """Write a problem to standard error.
+    """Print a problem to standard error.
 
     Args:
         problem: The problem.
-        status: Exit code to end with.
+        status: Exit code.
 
     Returns:
         That exit code.
--- a/src/ledgeladder/daemons/log_child.py
+++ b/src/ledgeladder/daemons/log_child.py
@@ -1,4 +1,4 @@
-"""The supervised task that writes log lines."""
+"""Supervised task that writes queued log lines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def log_child() -> Child:
-    """Return the child that writes queued log lines, for every daemon's tree."""
+    """Return the child that writes queued log lines; every daemon runs it."""
 
     async def run() -> None:
         queue = current_log_queue()
--- a/src/ledgeladder/daemons/log_queue.py
+++ b/src/ledgeladder/daemons/log_queue.py
@@ -1,4 +1,4 @@
-"""A bounded queue of log lines that are written when the output takes them, and never before."""
+"""Bounded queue of log lines, which are written only when the output does not block."""
 
 from __future__ import annotations
 
@@ -12,74 +12,74 @@
 import anyio
 import msgspec
 
-QUEUE_LINES: Final = 2000
-"""Lines that wait for the output at most: about 1 MB, a second of the busiest box."""
+MAX_QUEUED_LINES: Final = 2000
+"""Maximum number of queued lines."""
 
-WRITE_BYTES: Final = 4096
-"""Longest single write: a pipe that is ready takes as much without blocking (PIPE_BUF)."""
+MAX_WRITE_BYTES: Final = 4096
+"""Maximum size of a single write; a writable pipe accepts PIPE_BUF bytes without blocking."""
 
-GATHER_SECONDS: Final = 0.05
-"""How long lines gather before they are written together."""
+BATCH_DELAY_SECONDS: Final = 0.05
+"""How long lines are collected before they are written together."""
 
-ORDINARY_LINES_PER_SECOND: Final = 100
-"""Lines below level WARNING that are kept a second; refusals, repeats and losses are warnings."""
+MAX_INFO_LINES_PER_SECOND: Final = 100
+"""Maximum number of lines per second below level WARNING; further ones are dropped."""
 
-LAST_SECONDS: Final = 0.2
-"""How long a process that ends waits for its output."""
+FLUSH_TIMEOUT_SECONDS: Final = 0.2
+"""How long an exiting process waits for a blocked output."""
 
 
 class LogQueue(msgspec.Struct, kw_only=True):
-    """Lines that wait for one output."""
+    """Queued lines of one output."""
 
     descriptor: int
     """File descriptor of the output."""
 
     lines: deque[bytes] = msgspec.field(default_factory=deque)
-    """Lines in order, each with its line end; the first may be what is left of one."""
+    """Lines in order, with line ends; the first one may be the rest of a partially written line."""
 
     dropped: int = 0
-    """Lines that found the queue full since the last one that says so."""
+    """Lines dropped because the queue was full, since a line last reported the number."""
 
     sampled_out: int = 0
-    """Ordinary lines over the rate since the last one that says so."""
+    """Lines dropped by the rate limit, since a line last reported the number."""
 
-    second: int = 0
-    """Whole second of the monotonic clock in which ordinary lines are being counted."""
+    rate_second: int = 0
+    """Current second of the rate limit, on the monotonic clock."""
 
-    ordinary: int = 0
-    """Ordinary lines in that second."""
+    info_lines: int = 0
+    """Lines below level WARNING in that second."""
 
     wake: anyio.Event | None = None
-    """Set when there is something to write; None while nobody writes in the background."""
+    """Set when lines are queued; None while no background writer runs."""
 
 
 def admit(queue: LogQueue, level: int, now: float) -> bool:
-    """Tell whether a line is to be written; those that are not are counted.
+    """Return True if a line should be queued; otherwise count it as dropped.
 
     Args:
         queue: The queue.
         level: Level of the line.
         now: Monotonic time.
     """
-    if len(queue.lines) >= QUEUE_LINES:
+    if len(queue.lines) >= MAX_QUEUED_LINES:
         queue.dropped += 1
         return False
     if level >= logging.WARNING:
         return True
-    if int(now) != queue.second:
-        queue.second, queue.ordinary = int(now), 0
-    queue.ordinary += 1
-    if queue.ordinary > ORDINARY_LINES_PER_SECOND:
+    if int(now) != queue.rate_second:
+        queue.rate_second, queue.info_lines = int(now), 0
+    queue.info_lines += 1
+    if queue.info_lines > MAX_INFO_LINES_PER_SECOND:
         queue.sampled_out += 1
         return False
     return True
 
 
 def write_ready(queue: LogQueue) -> bool:
-    """Write lines for as long as the output takes them without blocking.
+    """Write queued lines until the output would block.
 
     Returns:
-        True if nothing is left.
+        True if the queue is empty.
     """
     poller = select.poll()
     poller.register(queue.descriptor, select.POLLOUT)
@@ -87,12 +87,12 @@
         if not poller.poll(0):
             return False
         chunk = bytearray()
-        while queue.lines and len(chunk) < WRITE_BYTES:
+        while queue.lines and len(chunk) < MAX_WRITE_BYTES:
             chunk += queue.lines.popleft()
         try:
-            written = os.write(queue.descriptor, chunk[:WRITE_BYTES])
+            written = os.write(queue.descriptor, chunk[:MAX_WRITE_BYTES])
         except OSError:
-            # The reader is gone; there is nobody to tell.
+            # The reader has closed the pipe; the lines cannot be written anywhere.
             queue.lines.clear()
             return True
         if written < len(chunk):
@@ -100,9 +100,9 @@
     return True
 
 
-def write_last(queue: LogQueue) -> None:
-    """Write what is left when the process ends, for a bounded time."""
-    deadline = time.monotonic() + LAST_SECONDS
+def flush_at_exit(queue: LogQueue) -> None:
+    """Write the remaining lines when the process exits, for at most `FLUSH_TIMEOUT_SECONDS`."""
+    deadline = time.monotonic() + FLUSH_TIMEOUT_SECONDS
     while not write_ready(queue) and time.monotonic() < deadline:
         time.sleep(0.01)
 
@@ -110,8 +110,8 @@
 class QueueHandler(logging.Handler):
     """Formats records into a `LogQueue`.
 
-    Without a writer in the background, before the loop runs and after it ends, lines are written at
-    once for as long as the output takes them.
+    Without a background writer, that is before and after the event loop runs, lines are written
+    immediately unless the output would block.
     """
 
     def __init__(self, queue: LogQueue) -> None:
@@ -140,13 +140,13 @@
 
 
 async def run_log_writer(queue: LogQueue) -> None:
-    """Write lines in the background, for ever."""
+    """Write queued lines in the background until cancelled."""
     try:
         while True:
             queue.wake = anyio.Event()
             if not queue.lines:
                 await queue.wake.wait()
-            await anyio.sleep(GATHER_SECONDS)
+            await anyio.sleep(BATCH_DELAY_SECONDS)
             write_ready(queue)
     finally:
         queue.wake = None
--- a/src/ledgeladder/daemons/logs.py
+++ b/src/ledgeladder/daemons/logs.py
@@ -1,4 +1,4 @@
-"""Structured logging: one JSON object a line on standard output."""
+"""Structured logging to standard output, one JSON object per line."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-from .log_queue import LogQueue, QueueHandler, write_last
+from .log_queue import LogQueue, QueueHandler, flush_at_exit
 
 
 def set_up_logging(*, level: str, box: str, failure_domain: str) -> LogQueue:
     """Send all log records to standard output as JSON with box and failure domain.
 
     Args:
-        level: Least level that is written.
+        level: Minimum level of written records.
         box: Name of the box.
         failure_domain: Failure domain of the box.
 
     Returns:
-        The queue, which a daemon writes in the background; until then lines are written at once.
+        The queue. Lines are written immediately until a daemon starts the background writer.
     """
     formatter = JsonFormatter(
         "%(asctime)s %(levelname)s %(name)s %(message)s",
@@ -30,7 +30,7 @@
     queue = LogQueue(descriptor=sys.stdout.fileno())
     handler = QueueHandler(queue)
     handler.setFormatter(formatter)
-    atexit.register(write_last, queue)
+    atexit.register(flush_at_exit, queue)
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
@@ -40,7 +40,7 @@
 
 
 def current_log_queue() -> LogQueue | None:
-    """Return the queue that `set_up_logging` made, if it was called."""
+    """Return the queue that `set_up_logging` created, or None if it was not called."""
     for handler in logging.getLogger().handlers:
         if isinstance(handler, QueueHandler):
             return handler.queue
--- a/src/ledgeladder/daemons/metrics_page.py
+++ b/src/ledgeladder/daemons/metrics_page.py
@@ -1,4 +1,4 @@
-"""Counters and histograms as text, on the metrics address."""
+"""Metrics page: counters, gauges and histograms as text."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 METRICS_PATH: Final = b"/metrics"
 QUANTILES: Final = (50.0, 95.0, 99.0, 100.0)
-"""Percentiles on the page; the last is the longest time."""
+"""Percentiles on the page; the last one is the maximum."""
 
 OK: Final = 200
 
 
 def histogram_lines(name: str, histogram: HdrHistogram) -> list[str]:
-    """Return count and quantiles of a histogram.
+    """Return the lines of a histogram: its count and quantiles.
 
     Args:
-        name: Middle part of the metric's name.
+        name: Middle part of the metric name.
         histogram: Times in microseconds; the page shows seconds.
     """
     lines = [f"ledgeladder_{name}_seconds_count {histogram.get_total_count()}"]
@@ -39,7 +39,7 @@
 
 
 def counter_lines(counters: Mapping[str, int]) -> list[str]:
-    """Return counters, sorted by name."""
+    """Return the lines of counters, sorted by name."""
     return [
         f'ledgeladder_events_total{{event="{name}"}} {count}'
         for name, count in sorted(counters.items())
@@ -47,7 +47,7 @@
 
 
 def gauge_lines(gauges: Mapping[str, float]) -> list[str]:
-    """Return gauges in the order given."""
+    """Return the lines of gauges, in the given order."""
     return [f"ledgeladder_{name} {value:g}" for name, value in gauges.items()]
 
 
--- a/src/ledgeladder/daemons/plain_problems.py
+++ b/src/ledgeladder/daemons/plain_problems.py
@@ -1,4 +1,4 @@
-"""How a problem is answered where requests and answers are forwarded."""
+"""Answers with problems, for daemons that forward requests."""
 
 from __future__ import annotations
 
@@ -13,23 +13,24 @@
 
 CODE_FIELD: Final = b"Ledgeladder-Code"
 
-DEFAULT_RETRY_SECONDS: Final = 0.25
-"""When to come back after a refusal that names no time. Half of the time in which a first event
-is expected, so that a second try can still be in time."""
+DEFAULT_RETRY_AFTER_SECONDS: Final = 0.25
+"""Retry delay after a rejection without one of its own. Half of the time within which a first event
+is expected, so that a retry can still be in time."""
 
 NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
-"""Statuses that promise that a request has not run and will not run."""
+"""Statuses that guarantee that the request has not run and will not run."""
 
 
 async def write_problem(exchange: Exchange, problem: Problem) -> None:
     """Answer with a problem.
 
     Args:
-        exchange: The answering side, on which nothing was sent yet.
+        exchange: Exchange on which nothing has been sent yet.
         problem: The problem.
 
     Raises:
-        AssertionError: If its status promises that the request has not run and its code does not.
+        AssertionError: If the status guarantees that the request has not run but the code does
+            not.
     """
     headers = [
         (b"Content-Type", b"application/json"),
@@ -38,7 +39,7 @@
     ]
     if problem.status in NOT_RUN_STATUSES:
         assert problem.known_execution is Execution.NOT_RUN
-        seconds = problem.retry_after or DEFAULT_RETRY_SECONDS
+        seconds = problem.retry_after or DEFAULT_RETRY_AFTER_SECONDS
         headers.append((b"Retry-After", f"{seconds:.3f}".encode()))
     body = {
         "error": {
--- a/src/ledgeladder/daemons/reloading.py
+++ b/src/ledgeladder/daemons/reloading.py
@@ -1,4 +1,4 @@
-"""Reading the seeds again when the settings file changes."""
+"""Reloading of seeds when the settings file changes."""
 
 from __future__ import annotations
 
@@ -21,57 +21,56 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_SECONDS: Final = 5.0
-"""How often the file is looked at: it may change without a signal."""
+POLL_INTERVAL_SECONDS: Final = 5.0
+"""Interval between checks of the file, which may change without a signal."""
 
 Loader = Callable[[Path], "Result[GatewaySettings, Problem] | Result[RegistrySettings, Problem]"]
-"""Reads and checks a settings file."""
+"""Reads and validates a settings file."""
 
 
 class SeedList(msgspec.Struct, kw_only=True):
-    """Seeds that are in force, and the file that they come from."""
+    """Current seeds and the settings file that they were read from."""
 
     path: Path
-    """Settings file."""
+    """Path of the settings file."""
 
     seeds: tuple[str, ...]
-    """`host:port` of some control boxes."""
+    """Addresses of some control boxes, as `host:port`."""
 
-    modified: float = 0.0
-    """When the file was last changed, in seconds since 1970; 0 if it could not be read."""
+    modified_at: float = 0.0
+    """Modification time of the file, in seconds since 1970; 0 if it could not be read."""
 
 
 async def reload_seeds(seeds: SeedList, peers: Peers, load: Loader) -> None:
-    """Read the seeds again on SIGHUP and whenever the file has changed, for ever.
+    """Reload the seeds on SIGHUP and whenever the file has changed; runs until cancelled.
 
-    The other settings hold until the process starts again; a file that is not valid changes
-    nothing.
+    Other settings take effect only after a restart. An invalid file is ignored.
 
     Args:
-        seeds: The seeds, which are replaced.
-        peers: Links, which are opened to new seeds.
-        load: Reads and checks the file.
+        seeds: The current seeds, which are updated.
+        peers: Links to control boxes; new seeds are added.
+        load: Reads and validates the file.
     """
-    seeds.modified = _modified(seeds.path)
+    seeds.modified_at = _modified_at(seeds.path)
     try:
         with anyio.open_signal_receiver(signal.SIGHUP) as signals:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(_look_now_and_then, seeds, peers, load)
+                tasks.start_soon(_poll_file, seeds, peers, load)
                 async for _ in signals:
                     _reload(seeds, peers, load)
     finally:
-        # The default action would end a process that is about to end as planned.
+        # The default action would kill the process during a planned stop.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-async def _look_now_and_then(seeds: SeedList, peers: Peers, load: Loader) -> None:
+async def _poll_file(seeds: SeedList, peers: Peers, load: Loader) -> None:
     while True:
-        await anyio.sleep(LOOK_SECONDS)
-        if _modified(seeds.path) != seeds.modified:
+        await anyio.sleep(POLL_INTERVAL_SECONDS)
+        if _modified_at(seeds.path) != seeds.modified_at:
             _reload(seeds, peers, load)
 
 
-def _modified(path: Path) -> float:
+def _modified_at(path: Path) -> float:
     try:
         return path.stat().st_mtime
     except OSError as error:
@@ -80,12 +79,12 @@
 
 
 def _reload(seeds: SeedList, peers: Peers, load: Loader) -> None:
-    seeds.modified = _modified(seeds.path)
+    seeds.modified_at = _modified_at(seeds.path)
     loaded = load(seeds.path)
     if isinstance(loaded, Failure):
         problem = loaded.failure()
         logger.error("reload failed", extra={"code": problem.code.name, "detail": problem.detail})
         return
-    before, seeds.seeds = seeds.seeds, loaded.unwrap().cluster.seeds
+    previous, seeds.seeds = seeds.seeds, loaded.unwrap().cluster.seeds
     add_peers(peers, seed_addresses(seeds.seeds))
-    logger.info("reload", extra={"seeds": list(seeds.seeds), "before": list(before)})
+    logger.info("reload", extra={"seeds": list(seeds.seeds), "before": list(previous)})
--- a/src/ledgeladder/daemons/signals.py
+++ b/src/ledgeladder/daemons/signals.py
@@ -1,4 +1,4 @@
-"""Turning signals into a planned stop."""
+"""Planned stop on SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Wait for SIGTERM or SIGINT, then run the planned stop.
 
     Args:
-        action: The planned stop; it is run once.
+        action: Performs the planned stop; called once.
     """
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
--- a/src/ledgeladder/daemons/supervisor.py
+++ b/src/ledgeladder/daemons/supervisor.py
@@ -1,4 +1,4 @@
-"""A supervisor tree: children that are restarted, and limits after which the tree gives up."""
+"""Supervisor tree: tasks that are restarted when they fail, up to a limit."""
 
 from __future__ import annotations
 
@@ -17,47 +17,47 @@
 
 logger = logging.getLogger(__name__)
 
-RESTART_PAUSE_SECONDS: Final = 0.05
+RESTART_DELAY_SECONDS: Final = 0.05
 
 
 class Restart(StrEnum):
-    """When a child is started again."""
+    """When a child is restarted."""
 
     ALWAYS = "always"
-    """Whenever it ends."""
+    """Whenever it returns or raises."""
 
     ON_ERROR = "on-error"
-    """Only when it raises; its normal end is accepted."""
+    """Only when it raises."""
 
     NEVER = "never"
-    """Never; its error ends the whole tree."""
+    """Never; its error stops the whole tree."""
 
 
 class RestartLimit(msgspec.Struct, frozen=True, kw_only=True):
-    """How many restarts within a time are borne before the supervisor gives up."""
+    """Restarts within a period after which the supervisor gives up."""
 
     count: int = 5
-    """Restarts."""
+    """Maximum number of restarts."""
 
     seconds: float = 10.0
-    """Period in which they are counted."""
+    """Period in which restarts are counted."""
 
 
 class Child(msgspec.Struct, frozen=True, kw_only=True):
-    """One supervised task, or a whole supervisor as a task."""
+    """A supervised task, which may be a supervisor itself."""
 
     name: str
     """Name in the log."""
 
     run: Callable[[], Awaitable[None]]
-    """Starts the child's work; called anew for each restart."""
+    """Runs the child; called again for each restart."""
 
     restart: Restart = Restart.ON_ERROR
-    """When it is started again."""
+    """When the child is restarted."""
 
 
-class SupervisorGaveUpError(Exception):
-    """A child failed more often than its supervisor bears."""
+class RestartLimitExceededError(Exception):
+    """A child exceeded its restart limit."""
 
 
 async def supervise(
@@ -66,23 +66,23 @@
     limit: RestartLimit = RestartLimit(),  # noqa: B008
     clock: Callable[[], float] = anyio.current_time,
 ) -> None:
-    """Run children side by side; each is restarted on its own.
+    """Run children concurrently, and restart each of them independently.
 
     Args:
-        children: What to run.
-        limit: Restarts that are borne per child.
+        children: The children.
+        limit: Restart limit of each child.
         clock: Monotonic time in seconds.
 
     Raises:
-        SupervisorGaveUpError: If a child fails beyond the limit.
-        ProblemError: If a child that is never restarted ends with a numbered problem.
+        RestartLimitExceededError: If a child exceeds the restart limit.
+        ProblemError: If a child raises it; such a child is never restarted.
     """
     async with anyio.create_task_group() as tasks:
         for child in children:
-            tasks.start_soon(_keep, child, limit, clock, name=child.name)
+            tasks.start_soon(_run_child, child, limit, clock, name=child.name)
 
 
-async def _keep(child: Child, limit: RestartLimit, clock: Callable[[], float]) -> None:
+async def _run_child(child: Child, limit: RestartLimit, clock: Callable[[], float]) -> None:
     failures: deque[float] = deque()
     while True:
         try:
@@ -91,19 +91,19 @@
             if child.restart is Restart.NEVER or isinstance(error, ProblemError):
                 raise
             logger.exception("child failed", extra={"child": child.name})
-            _note_failure(child, failures, limit, clock())
+            _record_failure(child, failures, limit, clock())
         else:
             if child.restart is not Restart.ALWAYS:
                 return
-            _note_failure(child, failures, limit, clock())
-        await anyio.sleep(RESTART_PAUSE_SECONDS)
+            _record_failure(child, failures, limit, clock())
+        await anyio.sleep(RESTART_DELAY_SECONDS)
 
 
-def _note_failure(child: Child, failures: deque[float], limit: RestartLimit, now: float) -> None:
+def _record_failure(child: Child, failures: deque[float], limit: RestartLimit, now: float) -> None:
     failures.append(now)
     while failures and failures[0] < now - limit.seconds:
         failures.popleft()
     if len(failures) > limit.count:
-        raise SupervisorGaveUpError(
+        raise RestartLimitExceededError(
             f"{child.name} ended {len(failures)} times in {limit.seconds} seconds"
         )
--- a/tests/daemons/test_clock.py
+++ b/tests/daemons/test_clock.py
@@ -1,4 +1,4 @@
-"""A machine that is suspended for seconds: the monotonic clock does not count that time."""
+"""Time during which a machine is suspended, which the monotonic clock leaves out, is counted."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 from .gateway.builders import gateway_state
 
 SUSPENDED_SECONDS = 8.0
-"""Longer than a lease, and than a key may work after it was taken away."""
+"""Longer than a lease, and than a revoked key may still be accepted."""
 
 
 class Machine:
-    """A machine whose clocks go on as they do when it is suspended."""
+    """A machine whose clocks advance as in a suspension."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.suspended = 0.0
-        read = clock.time.clock_gettime
+        real_clock_gettime = clock.time.clock_gettime
 
         def clock_gettime(number: int) -> float:
-            counts = number != clock.time.CLOCK_MONOTONIC
-            return read(number) + (self.suspended if counts else 0.0)
+            includes_suspension = number != clock.time.CLOCK_MONOTONIC
+            return real_clock_gettime(number) + (self.suspended if includes_suspension else 0.0)
 
         monkeypatch.setattr(clock.time, "clock_gettime", clock_gettime)
 
     def suspend(self) -> None:
-        """Let time pass during which nothing runs."""
+        """Advance the clocks that count suspension."""
         self.suspended += SUSPENDED_SECONDS
 
 
@@ -45,8 +45,8 @@
     return Machine(monkeypatch)
 
 
-def test_time_and_deadlines_of_daemons_count_the_suspension(machine: Machine) -> None:
-    async def play() -> None:
+def test_time_and_deadlines_of_daemons_include_suspension(machine: Machine) -> None:
+    async def check() -> None:
         began = anyio.current_time()
         assert abs(began - clock.now()) < 1.0
         with anyio.move_on_after(1.0) as scope:
@@ -55,13 +55,13 @@
             assert anyio.current_time() - began > SUSPENDED_SECONDS
         assert scope.deadline < anyio.current_time()
 
-    anyio.run(play, backend_options=LOOP_OPTIONS)
+    anyio.run(check, backend_options=LOOP_OPTIONS)
 
 
-def test_gateway_that_was_suspended_serves_by_no_old_document(machine: Machine) -> None:
-    """A key may have been taken away meanwhile."""
+def test_resumed_gateway_does_not_use_an_outdated_document(machine: Machine) -> None:
+    """Its keys may have been revoked during the suspension."""
 
-    async def play() -> None:
+    async def check() -> None:
         state = gateway_state()
         state.configuration = TrafficConfiguration(
             version=3, routes=(), pools={}, limits=CallerLimits(), accounts=()
@@ -72,11 +72,11 @@
         machine.suspend()
         assert not check_freshness(state, anyio.current_time())
 
-    anyio.run(play, backend_options=LOOP_OPTIONS)
+    anyio.run(check, backend_options=LOOP_OPTIONS)
 
 
-def test_leader_that_was_suspended_holds_no_lease(machine: Machine) -> None:
-    """Another may lead since, and have taken newer documents."""
+def test_resumed_leader_holds_no_lease(machine: Machine) -> None:
+    """Another box may have become leader and published newer documents."""
     replica: Any = SimpleNamespace(
         is_leader=True,
         term=2,
@@ -85,8 +85,8 @@
         log=SimpleNamespace(term_at=lambda _index: 2),
     )
 
-    def holds_lease(held: Any, now: float) -> bool:
-        return now < held.lease_until
+    def holds_lease(replica: Any, now: float) -> bool:
+        return now < replica.lease_until
 
     state: Any = SimpleNamespace(
         node=SimpleNamespace(
@@ -102,9 +102,9 @@
         machine.suspend()
         assert not is_up_to_date_leader(state)
 
-        async def play() -> float | None:
+        async def check() -> float | None:
             return version_age(state)
 
-        age = anyio.run(play, backend_options=LOOP_OPTIONS)
+        age = anyio.run(check, backend_options=LOOP_OPTIONS)
     assert age is not None
     assert age >= SUSPENDED_SECONDS
--- a/tests/daemons/test_imports.py
+++ b/tests/daemons/test_imports.py
@@ -1,7 +1,7 @@
-"""What a daemon loads when it starts, as a list and a count.
+"""Modules that daemons load at startup.
 
-A gateway has half a core, and all boxes start at once after a loss of power: each hundred modules
-are a tenth of a second in which nobody is served, and 2 MB on each box.
+After a power failure all boxes start at once. Each additional module delays their start and takes
+memory on every box.
 """
 
 from __future__ import annotations
@@ -25,29 +25,28 @@
     "typing_extensions",
     "uvloop",
 }
-"""What gateways and registries are made of. Not among them: the flags of the command line, the
-checks of callers' bodies and policies, and the server and client of the product's own interface."""
+"""Third-party packages of gateways and registries. The libraries of the command line, of request
+and policy validation, and of the operator interface are not among them."""
 
 MODULES_LIMIT = 380
-"""Modules in all, the standard library's too: 377 for a gateway, 366 for a registry."""
+"""Maximum number of loaded modules, including the standard library."""
 
-
-USED_AT_ONCE = {
+LAZY_IMPORTS = {
     "gateway": "",
     "registry": "from ledgeladder.coordination import raft; raft.tick, raft.restore_replica",
 }
-"""What a process uses in its first moment that is loaded at its first use."""
+"""Lazily imported names that a process uses directly after its start."""
 
 
-def loaded(role: str) -> set[str]:
-    """Return the modules of a process that has everything its role needs."""
+def loaded_modules(role: str) -> set[str]:
+    """Return the modules of a process that has loaded everything for a role."""
     code = (
         "import asyncio, sys, uvloop, anyio._backends._asyncio\n"
         f"from ledgeladder.daemons import launch, {role}\n"
-        f"{USED_AT_ONCE[role]}\n"
+        f"{LAZY_IMPORTS[role]}\n"
         "print('\\n'.join(sys.modules))"
     )
-    # Without the site packages' own start-up files, which are no part of the program.
+    # -S skips the startup files of site-packages, which are not part of the program.
     paths = [path for path in sys.path if path]
     run = subprocess.run(
         [sys.executable, "-S", "-c", code],
@@ -60,8 +59,8 @@
 
 
 @pytest.mark.parametrize("role", ["gateway", "registry"])
-def test_daemon_loads_what_its_role_needs(role: str) -> None:
-    modules = loaded(role)
+def test_daemon_loads_only_the_libraries_of_its_role(role: str) -> None:
+    modules = loaded_modules(role)
     packages = {name.partition(".")[0] for name in modules}
     foreign = packages - set(sys.stdlib_module_names) - {"__main__", "ledgeladder"}
     foreign = {name for name in foreign if not name.startswith("_")}
@@ -70,6 +69,6 @@
 
 
 def test_daemon_loads_no_code_of_other_roles() -> None:
-    own = {name for name in loaded("gateway") if name.startswith("ledgeladder.daemons.")}
-    rooms = {name.split(".")[2] for name in own}
-    assert not rooms & {"entry", "control", "registry"}
+    own = {name for name in loaded_modules("gateway") if name.startswith("ledgeladder.daemons.")}
+    roles = {name.split(".")[2] for name in own}
+    assert not roles & {"entry", "control", "registry"}
--- a/tests/daemons/test_log_queue.py
+++ b/tests/daemons/test_log_queue.py
@@ -1,4 +1,4 @@
-"""Log lines that never block and stay bounded."""
+"""Logging never blocks, and its queue stays bounded."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import os
 
 from ledgeladder.daemons.log_queue import (
-    ORDINARY_LINES_PER_SECOND,
-    QUEUE_LINES,
+    MAX_INFO_LINES_PER_SECOND,
+    MAX_QUEUED_LINES,
     LogQueue,
     QueueHandler,
     admit,
@@ -16,7 +16,7 @@
 )
 
 
-def test_reader_that_stops_costs_lines_and_no_time() -> None:
+def test_blocked_output_drops_lines_without_blocking() -> None:
     reading, writing = os.pipe()
     queue = LogQueue(descriptor=writing)
     handler = QueueHandler(queue)
@@ -25,7 +25,7 @@
         for number in range(5000):
             message = f"{number:05d}" + "x" * 200
             handler.emit(logging.LogRecord("n", logging.WARNING, "", 0, message, (), None))
-        assert len(queue.lines) <= QUEUE_LINES
+        assert len(queue.lines) <= MAX_QUEUED_LINES
         assert queue.dropped > 0
         received = b""
         while not write_ready(queue):
@@ -41,26 +41,26 @@
         os.close(reading)
 
 
-def test_ordinary_lines_are_sampled_and_warnings_are_not() -> None:
+def test_info_lines_are_rate_limited_and_warnings_are_not() -> None:
     queue = LogQueue(descriptor=1)
     kept = sum(admit(queue, logging.INFO, 5.5) for _ in range(500))
-    assert kept == ORDINARY_LINES_PER_SECOND
+    assert kept == MAX_INFO_LINES_PER_SECOND
     assert queue.sampled_out == 400
     assert all(admit(queue, logging.WARNING, 5.5) for _ in range(500))
     assert admit(queue, logging.INFO, 6.0)
 
 
-def test_next_line_says_what_was_left_out() -> None:
+def test_next_line_reports_the_number_of_dropped_lines() -> None:
     reading, writing = os.pipe()
     queue = LogQueue(descriptor=writing, dropped=3, sampled_out=4)
     handler = QueueHandler(queue)
 
-    class Shown(logging.Formatter):
+    class CounterFormatter(logging.Formatter):
         def format(self, record: logging.LogRecord) -> str:
-            shown = {"dropped": getattr(record, "lines_dropped", 0)}
-            return json.dumps(shown | {"sampled": getattr(record, "lines_sampled_out", 0)})
+            counters = {"dropped": getattr(record, "lines_dropped", 0)}
+            return json.dumps(counters | {"sampled": getattr(record, "lines_sampled_out", 0)})
 
-    handler.setFormatter(Shown())
+    handler.setFormatter(CounterFormatter())
     handler.emit(logging.LogRecord("n", logging.WARNING, "", 0, "m", (), None))
     os.close(writing)
     assert json.loads(os.read(reading, 1000)) == {"dropped": 3, "sampled": 4}
--- a/tests/daemons/test_planned_stops.py
+++ b/tests/daemons/test_planned_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of entries, control boxes and upstreams cut nothing."""
+"""Planned stops of entries, control boxes and upstreams interrupt no requests."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 @pytest.fixture(scope="module")
-def eight() -> Iterator[Fleet]:
+def eight_entries() -> Iterator[Fleet]:
     with running_fleet(entries_per_domain=(3, 3, 2)) as running:
         yield started(running)
 
 
-class Balancer:
-    """Sends streams to entries that say they are ready, as the platform's balancer does."""
+class LoadBalancer:
+    """Sends requests to entries that report ready, as the load balancer of the platform does."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -75,68 +75,74 @@
             stream.join()
 
 
-def test_rolling_restart_of_all_boxes_under_load(eight: Fleet) -> None:
-    balancer = Balancer(eight)
-    for name in eight.entry_names:
-        assert eight.terminate(name) == 0
-        eight.launch(name)
-        wait_until(lambda name=name: eight.is_ready(name), 20, f"{name} ready again")
-    for name in eight.control_names:
-        assert eight.terminate(name) == 0
-        eight.launch(name)
-        eight.wait_leader()
-        # The next box may stop only once this one holds the log again.
-        wait_until(lambda name=name: in_step(eight, name), 20, f"{name} in step")
+def test_rolling_restart_of_all_boxes_under_load(eight_entries: Fleet) -> None:
+    balancer = LoadBalancer(eight_entries)
+    for name in eight_entries.entry_names:
+        assert eight_entries.terminate(name) == 0
+        eight_entries.launch(name)
+        wait_until(lambda name=name: eight_entries.is_ready(name), 20, f"{name} ready again")
+    for name in eight_entries.control_names:
+        assert eight_entries.terminate(name) == 0
+        eight_entries.launch(name)
+        eight_entries.wait_leader()
+        # The next box may stop only after this one has caught up with the log.
+        wait_until(lambda name=name: has_caught_up(eight_entries, name), 20, f"{name} caught up")
     balancer.stop()
-    cut = [(stream.prompt, stream.error) for stream in balancer.streams if not stream.whole]
-    assert not cut
+    interrupted = [(stream.prompt, stream.error) for stream in balancer.streams if not stream.whole]
+    assert not interrupted
     assert len(balancer.streams) > 50
     assert set(balancer.bookings) == {200}
 
 
-def in_step(fleet: Fleet, name: str) -> bool:
+def has_caught_up(fleet: Fleet, name: str) -> bool:
     leader = fleet.leader()
     if leader is None:
         return False
-    own, leading = fleet.status(name), fleet.status(leader)
-    return own is not None and leading is not None and own["version"] == leading["version"] > 0
+    own_status, leader_status = fleet.status(name), fleet.status(leader)
+    return (
+        own_status is not None
+        and leader_status is not None
+        and own_status["version"] == leader_status["version"] > 0
+    )
 
 
-def test_leaving_engine_gets_no_new_work(eight: Fleet) -> None:
+def test_draining_engine_gets_no_new_work(eight_entries: Fleet) -> None:
     name = "fast-a1"
-    control = f"{eight.url(name)}/standin/control"
+    control = f"{eight_entries.url(name)}/standin/control"
     running = [
-        Stream(fleet=eight, entry="entry-a1", prompt=f"before {number}", count=60)
+        Stream(fleet=eight_entries, entry="entry-a1", prompt=f"before {number}", count=60)
         for number in range(12)
     ]
-    wait_until(lambda: engine_stats(eight, name)["held"] > 0, 20, "work on the engine")
-    eight.client.post(control, json={"leaving": True})
+    wait_until(lambda: engine_stats(eight_entries, name)["held"] > 0, 20, "work on the engine")
+    eight_entries.client.post(control, json={"leaving": True})
     time.sleep(2.0)
-    runs = engine_stats(eight, name)["counts"].get("runs", 0)
+    runs = engine_stats(eight_entries, name)["counts"].get("runs", 0)
     later = [
-        Stream(fleet=eight, entry=entry, prompt=f"after {entry} {number}", count=8)
-        for entry in eight.entry_names
+        Stream(fleet=eight_entries, entry=entry, prompt=f"after {entry} {number}", count=8)
+        for entry in eight_entries.entry_names
         for number in range(4)
     ]
     for stream in running + later:
         stream.join()
         assert stream.whole, stream.error
-    assert engine_stats(eight, name)["counts"].get("runs", 0) == runs
-    eight.client.post(control, json={"leaving": False})
+    assert engine_stats(eight_entries, name)["counts"].get("runs", 0) == runs
+    eight_entries.client.post(control, json={"leaving": False})
 
 
-def test_engine_on_the_platform_list_gets_no_new_work(eight: Fleet) -> None:
+def test_engine_on_the_platform_list_gets_no_new_work(eight_entries: Fleet) -> None:
     name = "fast-b1"
-    eight.client.post(f"{eight.url('platform')}/standin/leaving", json=[eight.addresses[name]])
-    time.sleep(eight.platform_lag + 2.0)
-    runs = engine_stats(eight, name)["counts"].get("runs", 0)
+    eight_entries.client.post(
+        f"{eight_entries.url('platform')}/standin/leaving", json=[eight_entries.addresses[name]]
+    )
+    time.sleep(eight_entries.platform_lag + 2.0)
+    runs = engine_stats(eight_entries, name)["counts"].get("runs", 0)
     streams = [
-        Stream(fleet=eight, entry=entry, prompt=f"listed {entry} {number}", count=8)
-        for entry in eight.entry_names
+        Stream(fleet=eight_entries, entry=entry, prompt=f"listed {entry} {number}", count=8)
+        for entry in eight_entries.entry_names
         for number in range(4)
     ]
     for stream in streams:
         stream.join()
         assert stream.whole, stream.error
-    assert engine_stats(eight, name)["counts"].get("runs", 0) == runs
-    eight.client.post(f"{eight.url('platform')}/standin/leaving", json=[])
+    assert engine_stats(eight_entries, name)["counts"].get("runs", 0) == runs
+    eight_entries.client.post(f"{eight_entries.url('platform')}/standin/leaving", json=[])
--- a/tests/daemons/test_supervisor.py
+++ b/tests/daemons/test_supervisor.py
@@ -1,4 +1,4 @@
-"""Restarts and their limits."""
+"""Restarts of supervised children, and the restart limit."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
     Child,
     Restart,
     RestartLimit,
-    SupervisorGaveUpError,
+    RestartLimitExceededError,
     supervise,
 )
 from ledgeladder.model import Problem, ProblemError, ResultCode
 
 
 @pytest.fixture(autouse=True)
-def no_pause(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(supervisor, "RESTART_PAUSE_SECONDS", 0.0)
+def no_restart_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(supervisor, "RESTART_DELAY_SECONDS", 0.0)
 
 
-def test_child_is_restarted_on_its_own() -> None:
+def test_children_are_restarted_independently() -> None:
     starts = {"flaky": 0, "steady": 0}
 
     async def flaky() -> None:
@@ -39,7 +39,7 @@
     assert starts == {"flaky": 4, "steady": 1}
 
 
-def test_limit_ends_the_tree() -> None:
+def test_exceeded_restart_limit_stops_the_tree() -> None:
     async def broken() -> None:
         raise ValueError("always")
 
@@ -50,10 +50,10 @@
     limit = RestartLimit(count=3, seconds=1000.0)
     with pytest.raises(ExceptionGroup) as caught:
         anyio.run(lambda: supervise(children, limit=limit))
-    assert caught.group_contains(SupervisorGaveUpError)
+    assert caught.group_contains(RestartLimitExceededError)
 
 
-def test_numbered_problem_is_not_restarted() -> None:
+def test_child_that_raises_a_problem_is_not_restarted() -> None:
     starts = []
 
     async def disk() -> None:
