--- a/src/ledgeladder/coordination/raft/__init__.py
+++ b/src/ledgeladder/coordination/raft/__init__.py
@@ -1,7 +1,7 @@
-"""A replicated log as a sans-IO core: elections, replication, snapshots, change of members.
+"""A sans-IO Raft core: elections, log replication, snapshots, membership changes.
 
-Its modules are loaded when a name of them is first used: entry boxes know the messages only, since
-those travel in the same frames as theirs, and start without the five modules that run a replica.
+Submodules are imported on first use of one of their names. Entry boxes only decode the messages, so
+they start without the modules that run a replica.
 """
 
 from __future__ import annotations
@@ -114,11 +114,11 @@
     "Timing": "replica",
     "send_snapshot": "replication",
 }
-"""Module of each name."""
+"""Submodule that defines each exported name."""
 
 
 def __getattr__(name: str) -> Any:
-    """Load the module of a name that is used for the first time."""
+    """Import the submodule that defines a name on first access."""
     module = _MODULES.get(name)
     if module is None:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/src/ledgeladder/coordination/raft/core.py
+++ b/src/ledgeladder/coordination/raft/core.py
@@ -1,8 +1,8 @@
-"""The face of the replicated log: events go in, work for the driver comes out.
+"""Entry points of the replicated log: accepts events and returns work for a driver.
 
-No sockets, files or clocks are used here. A driver calls `tick`, `receive` and `propose` with the
-monotonic time and a random source, then takes a `Ready`, does what it says in its order, and calls
-`synced`.
+This package uses no sockets, files or clocks. A driver calls `tick`, `receive` and `propose` with
+the monotonic time and a random number generator, takes a `Ready`, processes its fields in order,
+and calls `record_synced`.
 """
 
 from __future__ import annotations
@@ -57,20 +57,20 @@
     now: float,
     rng: random.Random,
 ) -> Replica:
-    """Build a member from what its disk holds.
+    """Build a member from its stored state.
 
     Args:
         member_id: Own member id.
-        timing: Intervals.
+        timing: Protocol intervals.
         hard_state: Term and vote on disk.
         snapshot: Newest snapshot on disk.
         entries: Entries on disk after the snapshot.
-        initial_members: Members of a cluster that has no snapshot yet.
+        initial_members: Members to start from when there is no snapshot.
         now: Monotonic time in seconds.
-        rng: Source of the election time-out.
+        rng: Random source for the election timeout.
 
     Returns:
-        A follower.
+        The member, as a follower.
     """
     log = RaftLog(base_members=initial_members, entries=entries)
     if snapshot is not None:
@@ -95,17 +95,17 @@
 
 
 def tick(replica: Replica, now: float, rng: random.Random) -> None:
-    """Let time pass: heartbeats, elections, check of the quorum.
+    """Process elapsed time: send heartbeats, start elections, check the quorum.
 
     Args:
         replica: The member.
         now: Monotonic time in seconds.
-        rng: Source of election time-outs.
+        rng: Random source for election timeouts.
     """
     if replica.is_leader:
         check_quorum(replica, now, rng)
         if replica.transfer_target and now >= replica.transfer_deadline:
-            # The target may still stand at any time, so the lease cannot be taken up again.
+            # The target may still start an election, so this leader cannot regain its lease.
             become_follower(replica, replica.term, "", now, rng)
         if replica.is_leader and now >= replica.heartbeat_due:
             broadcast(replica, now)
@@ -115,18 +115,18 @@
 
 
 def next_due(replica: Replica) -> float:
-    """Return when `tick` has to be called next at the latest, on the monotonic clock."""
+    """Return the latest monotonic time at which `tick` must be called next."""
     return replica.heartbeat_due if replica.is_leader else replica.election_due
 
 
 def receive(replica: Replica, envelope: Envelope, now: float, rng: random.Random) -> None:
-    """Take in one message.
+    """Handle one message.
 
     Args:
         replica: The member.
-        envelope: The message; one for another member id is ignored.
+        envelope: The message; ignored if addressed to another member id.
         now: Monotonic time in seconds.
-        rng: Source of election time-outs.
+        rng: Random source for election timeouts.
     """
     if envelope.target != replica.member_id:
         return
@@ -155,8 +155,8 @@
         data: Encoded command.
 
     Returns:
-        The index at which the command will be committed, unless another leader replaces it first;
-        None if this member does not lead or is handing over.
+        The index at which the command will be committed, unless another leader overwrites it first;
+        None if this member does not lead or is transferring its leadership.
     """
     if not replica.is_leader or replica.transfer_target:
         return None
@@ -164,15 +164,16 @@
 
 
 def propose_members(replica: Replica, members: Members) -> bool:
-    """Append a change of members that adds or removes at most one voter.
+    """Append a membership change that adds or removes at most one voter.
 
     Args:
         replica: The member.
-        members: The whole new set.
+        members: The complete new set.
 
     Returns:
-        False if this member does not lead, if an earlier change is not committed yet, if nothing
-        of the current term is committed yet, or if more than one voter would change.
+        False if this member does not lead or is transferring its leadership, if an earlier change
+        or the first entry of the current term is not committed yet, if more than one voter would
+        change, or if no voter would remain.
     """
     if not replica.is_leader or replica.transfer_target:
         return False
@@ -187,19 +188,19 @@
 
 
 def flush(replica: Replica, now: float) -> None:
-    """Send appended entries to the other members now and not with the next heartbeat."""
+    """Send appended entries without waiting for the next heartbeat."""
     if replica.is_leader and replica.unsynced_entries:
         broadcast(replica, now)
 
 
 def take_ready(replica: Replica) -> Ready:
-    """Take the pending work out of a member.
+    """Return the pending work of a member and clear it.
 
     Args:
         replica: The member.
 
     Returns:
-        The work; `synced` must be called once it is written and synced.
+        The work; call `record_synced` once it is written and synced.
     """
     committed: tuple[LogEntry, ...] = ()
     last = min(replica.commit_index, replica.log.last_index)
@@ -223,13 +224,13 @@
 
 
 def record_synced(replica: Replica, ready: Ready, now: float, rng: random.Random) -> None:
-    """Note that the entries of a `Ready` are on disk.
+    """Record that the entries of a `Ready` are on disk.
 
     Args:
         replica: The member.
         ready: The work that was written and synced.
         now: Monotonic time in seconds.
-        rng: Source of election time-outs.
+        rng: Random source for election timeouts.
     """
     if ready.entries:
         last = ready.entries[-1]
--- a/src/ledgeladder/coordination/raft/election.py
+++ b/src/ledgeladder/coordination/raft/election.py
@@ -1,6 +1,6 @@
-"""Elections: pre-votes, votes, stepping down and the leader's lease.
+"""Elections: pre-votes, votes, leadership transfer and the leader's lease.
 
-After "In Search of an Understandable Consensus Algorithm" (Ongaro and Ousterhout, 2014) and the
+Follows "In Search of an Understandable Consensus Algorithm" (Ongaro and Ousterhout, 2014) and the
 pre-vote, check-quorum and lease extensions in Ongaro's dissertation, sections 6.4 and 9.6.
 """
 
@@ -25,11 +25,10 @@
 
 
 NEWLY_STARTED_TIMEOUT_FACTOR: Final = 0.1
-"""Part of an election time-out after which a member that has just started asks whether all others
-have, too: 0.06 to 0.12 s, where links are up after 0.055 s and a vote takes a few milliseconds.
-Where they have, a leader is there 0.6 s sooner than after the silence that protects a lease. With a
-quarter of the time-out it was there 0.33 s after the links were up, when a first round had failed
-for one link that came later."""
+"""Fraction of the election timeout after which a newly started member starts a pre-vote.
+
+If all voters are newly started, no lease can exist and they elect a leader without waiting for the
+full timeout. The fraction leaves time for the links to open first."""
 
 
 def quorum(count: int) -> int:
@@ -38,36 +37,36 @@
 
 
 def send(replica: Replica, target: str, message: Message) -> None:
-    """Queue a message until everything before it is synced."""
+    """Queue a message, which is sent after all earlier writes are synced."""
     replica.outbox.append(Envelope(sender=replica.member_id, target=target, message=message))
 
 
 def set_hard_state(replica: Replica, term: int, voted_for: str) -> None:
-    """Change term and vote and mark them as not yet written."""
+    """Set term and vote and mark them for writing."""
     replica.hard_state = HardState(term=term, voted_for=voted_for)
     replica.hard_state_dirty = True
 
 
 def reset_election_timer(replica: Replica, now: float, rng: random.Random) -> None:
-    """Push the next election out by a random time, so that members rarely stand together.
+    """Restart the election timer with a random timeout, which makes split votes rare.
 
-    A fresh member asks sooner: if all others are fresh too, nobody leads.
+    A newly started member uses a shorter one, see `NEWLY_STARTED_TIMEOUT_FACTOR`.
     """
-    share = NEWLY_STARTED_TIMEOUT_FACTOR if replica.newly_started else 1.0
-    replica.election_due = now + share * replica.timing.election_timeout * (1.0 + rng.random())
+    factor = NEWLY_STARTED_TIMEOUT_FACTOR if replica.newly_started else 1.0
+    replica.election_due = now + factor * replica.timing.election_timeout * (1.0 + rng.random())
 
 
 def become_follower(
     replica: Replica, term: int, leader_id: str, now: float, rng: random.Random
 ) -> None:
-    """Follow, in the same term or a later one.
+    """Become a follower in the current term or a later one.
 
     Args:
         replica: The member.
-        term: Term to be in, never below the current one.
-        leader_id: Leader of that term, or empty if not known.
+        term: The new term, at least the current one.
+        leader_id: Leader of that term, or empty if unknown.
         now: Monotonic time in seconds.
-        rng: Source of the election time-out.
+        rng: Random source for the election timeout.
     """
     if term > replica.term:
         set_hard_state(replica, term, "")
@@ -80,7 +79,7 @@
 
 
 def start_pre_vote(replica: Replica, now: float, rng: random.Random) -> None:
-    """Ask whether an election could be won, without raising the term."""
+    """Start a pre-vote: ask whether an election could be won, without raising the term."""
     reset_election_timer(replica, now, rng)
     if not replica.is_voter:
         return
@@ -100,15 +99,15 @@
     leadership_transfer: bool = False,
     unanimous: bool = False,
 ) -> None:
-    """Raise the term and ask for votes.
+    """Raise the term and request votes.
 
     Args:
         replica: The member.
         now: Monotonic time in seconds.
-        rng: Source of the election time-out.
-        leadership_transfer: True if the old leader asked for it.
-        unanimous: True if all voters have just started, so that nobody leads: their votes are taken
-            before the time-out that protects a lease, and all of them are needed.
+        rng: Random source for the election timeout.
+        leadership_transfer: True if the old leader requested the election.
+        unanimous: True if all voters are newly started. Voters then grant votes before the timeout
+            that protects a lease, and the candidate needs the votes of all of them.
     """
     if not replica.is_voter:
         return
@@ -152,12 +151,12 @@
 def _count_votes(replica: Replica, now: float, rng: random.Random) -> None:
     voters = replica.log.members.voters
     granted = sum(1 for voter in voters if replica.votes.get(voter))
-    is_real = replica.role is Role.CANDIDATE
-    needed = len(voters) if is_real and replica.needs_all_votes else quorum(len(voters))
+    is_election = replica.role is Role.CANDIDATE
+    needed = len(voters) if is_election and replica.needs_all_votes else quorum(len(voters))
     if granted < needed:
         return
     if replica.role is Role.PRE_CANDIDATE:
-        # The own vote is bound by the own silence as those of others are.
+        # The lease rule that binds other voters applies to this member's own vote too.
         if now >= replica.leader_last_seen_at + replica.timing.election_timeout:
             start_election(replica, now, rng)
     elif replica.role is Role.CANDIDATE:
@@ -177,7 +176,7 @@
         if member != replica.member_id
     }
     replica.heartbeat_due = now
-    # Entries of earlier terms commit only under an entry of this term (Raft, section 5.4.2).
+    # Entries of earlier terms commit only through an entry of this term (Raft, section 5.4.2).
     append_entry(replica, EntryKind.BARRIER, b"")
 
 
@@ -201,7 +200,7 @@
 
 
 def track_members(replica: Replica) -> None:
-    """Start and stop replicating to members as the newest members say."""
+    """Start and stop replicating to match the newest members in the log."""
     wanted = set(replica.log.members.all_ids) - {replica.member_id}
     for member in wanted - set(replica.progress):
         replica.progress[member] = Progress(next_index=replica.log.last_index + 1)
@@ -212,16 +211,17 @@
 def receive_vote_request(
     replica: Replica, sender: str, request: VoteRequest, now: float, rng: random.Random
 ) -> None:
-    """Answer a candidate.
+    """Handle a vote request.
 
-    A member that has heard a leader within the least election time-out stays silent. That keeps a
-    rejoining member from unseating a working leader, and it makes the lease hold: whoever answered
-    a heartbeat votes for nobody else until the lease that the answer gave has run out. A member
-    that has just started counts as having heard a leader, since it may have before it stopped.
+    A member that saw a leader within the minimum election timeout does not answer, except to report
+    that it is newly started. This keeps a rejoining member from disrupting a working leader. It
+    also makes the lease safe: a member that answered a heartbeat votes for no other member before
+    the lease from that answer expires. A member counts its own start as contact with a leader,
+    since it may have answered one before it stopped.
     """
     leader_recently_seen = now < replica.leader_last_seen_at + replica.timing.election_timeout
-    agreed = request.leadership_transfer or (request.unanimous and replica.newly_started)
-    if leader_recently_seen and not agreed:
+    lease_is_excluded = request.leadership_transfer or (request.unanimous and replica.newly_started)
+    if leader_recently_seen and not lease_is_excluded:
         _send_newly_started(replica, sender, request)
         return
     if request.term > replica.term and not request.pre_vote:
@@ -234,7 +234,7 @@
     up_to_date = _is_up_to_date(replica, request)
     if request.pre_vote:
         granted = up_to_date and request.term > replica.term
-        # A refusal carries the own term, lest a mere trial raise the term of whoever asked.
+        # A rejection carries this member's term: a pre-vote must not raise the sender's term.
         term = request.term if granted else replica.term
         newly_started = granted and replica.newly_started
         send(
@@ -251,13 +251,13 @@
 
 
 def _is_up_to_date(replica: Replica, request: VoteRequest) -> bool:
-    """Tell whether a candidate's log holds at least what the own one does."""
+    """Return whether a candidate's log is at least as up to date as this member's."""
     own = (replica.log.last_term, replica.log.last_index)
     return (request.last_term, request.last_index) >= own
 
 
 def _send_newly_started(replica: Replica, sender: str, request: VoteRequest) -> None:
-    """Answer a trial that the member would grant but for its silence after a start."""
+    """Report being newly started if only the start timeout prevents granting a pre-vote."""
     would_grant = _is_up_to_date(replica, request) and request.term > replica.term
     if request.pre_vote and replica.newly_started and would_grant:
         reply = VoteReply(term=request.term, pre_vote=True, granted=False, newly_started=True)
@@ -267,7 +267,7 @@
 def receive_vote_reply(
     replica: Replica, sender: str, reply: VoteReply, now: float, rng: random.Random
 ) -> None:
-    """Count a vote."""
+    """Handle a reply to a pre-vote or vote request."""
     expected_role = Role.PRE_CANDIDATE if reply.pre_vote else Role.CANDIDATE
     expected_term = replica.term + 1 if reply.pre_vote else replica.term
     if reply.newly_started and replica.role is expected_role and reply.term == expected_term:
@@ -287,14 +287,14 @@
 
 
 def lease_until(replica: Replica, now: float) -> float:
-    """Return until when a leader may act outside, on the monotonic clock.
+    """Return when the lease of a leader expires, on the monotonic clock.
 
     Args:
         replica: The member.
         now: Monotonic time in seconds.
 
     Returns:
-        The end of the lease, or minus infinity without one.
+        The expiry time in seconds, or minus infinity without a lease.
     """
     if not replica.is_leader or replica.lease_forfeited:
         return float("-inf")
@@ -312,12 +312,12 @@
 
 
 def holds_lease(replica: Replica, now: float) -> bool:
-    """Tell whether a leader may act outside right now."""
+    """Return whether this member leads with a valid lease."""
     return now < lease_until(replica, now)
 
 
 def check_quorum(replica: Replica, now: float, rng: random.Random) -> None:
-    """Step down if no majority answered within the longest election time-out."""
+    """Step down if no majority answered within the maximum election timeout."""
     limit = now - 2 * replica.timing.election_timeout
     voters = replica.log.members.voters
     alive = sum(
@@ -331,11 +331,11 @@
 
 
 def transfer_leadership(replica: Replica, target: str, now: float) -> bool:
-    """Begin to hand the leadership to a voter.
+    """Start a leadership transfer to a voter.
 
     Args:
         replica: The leader.
-        target: The voter that is to lead.
+        target: The voter that becomes the leader.
         now: Monotonic time in seconds.
 
     Returns:
@@ -353,23 +353,24 @@
 
 
 def send_timeout_now(replica: Replica) -> None:
-    """Tell the hand-over target to stand as soon as it holds the whole log."""
+    """Request an election from the transfer target once it has the whole log."""
     progress = replica.progress.get(replica.transfer_target)
     if progress is not None and progress.match_index == replica.log.last_index:
         send(replica, replica.transfer_target, TimeoutNow(term=replica.term))
 
 
 def step_down(replica: Replica, now: float, rng: random.Random) -> Envelope | None:
-    """Stop leading at once, without a word to the disk.
+    """Stop leading at once, without writing to the disk.
 
     Args:
         replica: The member.
         now: Monotonic time in seconds.
-        rng: Source of the election time-out.
+        rng: Random source for the election timeout.
 
     Returns:
-        A message that asks the voter with most of the log to stand, to be sent at once; None if
-        this member does not lead or is alone. If it is lost, others stand after a time-out.
+        A message to send at once, which requests an election from the voter with the longest
+        matching log; None if this member does not lead or has no other voter. If the message is
+        lost, another voter starts an election after its timeout.
     """
     if not replica.is_leader:
         return None
@@ -383,10 +384,10 @@
 
 
 def start_heartbeat_round(replica: Replica, now: float) -> int:
-    """Open a new heartbeat round and remember when it was sent."""
+    """Start a new heartbeat round and record its send time."""
     replica.round += 1
     replica.round_sent_at[replica.round] = now
-    # A round older than the lease cannot extend it any more.
+    # A round older than the lease duration can no longer extend the lease.
     oldest = next(iter(replica.round_sent_at))
     while replica.round_sent_at[oldest] < now - replica.timing.lease_duration:
         del replica.round_sent_at[oldest]
@@ -395,10 +396,10 @@
 
 
 def accept_leader(replica: Replica, sender: str, term: int, now: float, rng: random.Random) -> bool:
-    """Follow the sender of an append or snapshot request unless its term is old.
+    """Follow the sender of an append or snapshot request unless its term is stale.
 
     Returns:
-        True if the request is of the current term or a newer one.
+        True if the request has the current term or a later one.
     """
     if term < replica.term:
         return False
--- a/src/ledgeladder/coordination/raft/log.py
+++ b/src/ledgeladder/coordination/raft/log.py
@@ -1,4 +1,4 @@
-"""The part of the replicated log that is held in memory."""
+"""The in-memory part of the replicated log."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class RaftLog(msgspec.Struct, kw_only=True):
-    """Entries after the last snapshot, with the members that each prefix implies."""
+    """Entries after the last snapshot, with the members in force at each index."""
 
     base_index: int = 0
-    """Index of the last entry that was folded into a snapshot."""
+    """Index of the last entry that the snapshot contains."""
 
     base_term: int = 0
     """Term of that entry."""
@@ -20,7 +20,7 @@
     """Members in force at `base_index`."""
 
     entries: list[LogEntry] = msgspec.field(default_factory=list)
-    """Entries after `base_index`, without gaps."""
+    """Entries after `base_index`, with consecutive indexes."""
 
     member_changes: list[tuple[int, Members]] = msgspec.field(default_factory=list)
     """Index and members of each members entry in `entries`."""
@@ -30,7 +30,7 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry, or of the snapshot if there is none."""
+        """Index of the last entry, or of the snapshot if the log is empty."""
         return self.base_index + len(self.entries)
 
     @property
@@ -55,7 +55,7 @@
             index: An index at or after the snapshot.
 
         Returns:
-            The newest members appended at or before it.
+            The newest members at or before it.
         """
         found = self.base_members
         for change_index, members in self.member_changes:
@@ -70,7 +70,7 @@
             index: Any index.
 
         Returns:
-            The term, or None if the entry is not held.
+            The term, or None if the entry is not in the log.
         """
         if index == self.base_index:
             return self.base_term
@@ -79,26 +79,26 @@
         return self.entries[index - self.base_index - 1].term
 
     def slice(self, first: int, limit: int) -> tuple[LogEntry, ...]:
-        """Return up to `limit` entries from `first` on."""
+        """Return up to `limit` entries, starting at index `first`."""
         start = first - self.base_index - 1
         return tuple(self.entries[start : start + limit])
 
     def between(self, first: int, last: int) -> tuple[LogEntry, ...]:
-        """Return the entries from `first` to `last`, both included."""
+        """Return the entries from `first` to `last`, inclusive."""
         return tuple(self.entries[first - self.base_index - 1 : last - self.base_index])
 
     def append(self, entries: tuple[LogEntry, ...]) -> None:
-        """Add entries that follow the last one."""
+        """Append entries that follow the last one."""
         self.entries.extend(entries)
         self._record_members(entries)
 
     def truncate(self, first: int) -> None:
-        """Drop the entry at `first` and all after it."""
+        """Remove the entry at `first` and all after it."""
         del self.entries[first - self.base_index - 1 :]
         self.member_changes = [item for item in self.member_changes if item[0] < first]
 
     def compact(self, index: int) -> None:
-        """Drop the entries up to `index`, which a snapshot now holds."""
+        """Remove the entries up to `index`, which a snapshot now contains."""
         term = self.term_at(index)
         if term is None or index <= self.base_index:
             return
@@ -108,7 +108,7 @@
         self.base_index, self.base_term, self.base_members = index, term, members
 
     def reset(self, index: int, term: int, members: Members) -> None:
-        """Start anew after a snapshot that came from the leader."""
+        """Replace the log by a snapshot from the leader."""
         self.entries.clear()
         self.member_changes.clear()
         self.base_index, self.base_term, self.base_members = index, term, members
--- a/src/ledgeladder/coordination/raft/messages.py
+++ b/src/ledgeladder/coordination/raft/messages.py
@@ -8,7 +8,7 @@
 
 
 class EntryKind(IntEnum):
-    """What a log entry carries."""
+    """Content of a log entry."""
 
     COMMAND = 0
     """A command for the state machine."""
@@ -17,7 +17,7 @@
     """A new set of members, in force as soon as it is appended."""
 
     BARRIER = 2
-    """Nothing; a new leader appends one to commit the entries of earlier terms."""
+    """No data; a new leader appends one to commit the entries of earlier terms."""
 
 
 class LogEntry(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
@@ -37,13 +37,13 @@
 
 
 class Members(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Who replicates the log."""
+    """Members that replicate the log."""
 
     voters: tuple[str, ...]
     """Member ids whose votes and acknowledgements count."""
 
     learners: tuple[str, ...] = ()
-    """Member ids that receive the log and count for nothing."""
+    """Member ids that receive the log but count toward no quorum."""
 
     @property
     def all_ids(self) -> tuple[str, ...]:
@@ -52,7 +52,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """The state machine's state after one log entry."""
+    """State of the state machine after one log entry."""
 
     index: int
     """Index of the last entry that the snapshot contains."""
@@ -68,35 +68,35 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, kw_only=True, tag="vote?", array_like=True):
-    """A candidate asks for a vote, or before that whether it would get one."""
+    """A candidate's request for a vote or a pre-vote."""
 
     term: int
     last_index: int
     last_term: int
     pre_vote: bool
-    """True for a pre-vote, which changes nothing at the receiver."""
+    """True for a pre-vote, which changes no state of the receiver."""
 
     leadership_transfer: bool = False
-    """True if the old leader asked for this election, so that its lease has been given up."""
+    """True if the old leader requested this election and has given up its lease."""
 
     unanimous: bool = False
-    """True if the candidate will lead only with the votes of all voters. A leader that grants its
-    vote leads no more, so no lease can outlast such an election."""
+    """True if the candidate needs the votes of all voters. A leader that grants its vote stops
+    leading, so no lease can outlast such an election."""
 
 
 class VoteReply(msgspec.Struct, frozen=True, kw_only=True, tag="vote", array_like=True):
-    """Answer to a vote request."""
+    """Reply to a vote request."""
 
     term: int
     pre_vote: bool
     granted: bool
 
     newly_started: bool = False
-    """True if the voter has not heard a leader since its process started."""
+    """True if the voter has neither led nor seen a leader since its process started."""
 
 
 class AppendRequest(msgspec.Struct, frozen=True, kw_only=True, tag="append?", array_like=True):
-    """The leader sends entries, or none as a heartbeat."""
+    """Entries from the leader; a heartbeat has none."""
 
     term: int
     previous_index: int
@@ -104,22 +104,22 @@
     entries: tuple[LogEntry, ...]
     commit_index: int
     round: int
-    """Heartbeat round, echoed in the reply, from which the leader reckons its lease."""
+    """Heartbeat round, echoed in the reply; the leader computes its lease from it."""
 
 
 class AppendReply(msgspec.Struct, frozen=True, kw_only=True, tag="append", array_like=True):
-    """Answer to an append or snapshot request."""
+    """Reply to an append or snapshot request."""
 
     term: int
     accepted: bool
     index: int
-    """Last index known to match if accepted, else the index to try next."""
+    """Last matching index if accepted, else a hint for the last index that may match."""
 
     round: int
 
 
 class SnapshotRequest(msgspec.Struct, frozen=True, kw_only=True, tag="snap?", array_like=True):
-    """The leader replaces a follower's log by a snapshot."""
+    """A snapshot from the leader, which replaces the follower's log."""
 
     term: int
     snapshot: Snapshot
@@ -127,7 +127,7 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, kw_only=True, tag="elect!", array_like=True):
-    """A leader that hands over asks the target to start an election at once."""
+    """A leader's request to the transfer target to start an election at once."""
 
     term: int
 
@@ -136,7 +136,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A message with its sender and its target."""
+    """A message with its sender and target."""
 
     sender: str
     target: str
@@ -144,8 +144,8 @@
 
 
 class HardState(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What a member must never forget between restarts, beside its log."""
+    """State besides the log that must survive restarts."""
 
     term: int = 0
     voted_for: str = ""
-    """Member that got this member's vote in `term`; empty if none did."""
+    """Member that received this member's vote in `term`, or empty."""
--- a/src/ledgeladder/coordination/raft/replica.py
+++ b/src/ledgeladder/coordination/raft/replica.py
@@ -1,4 +1,4 @@
-"""State of one member of the replicated log, and what it asks its driver to do."""
+"""State of one member of the replicated log, and the work that it returns to its driver."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Role(StrEnum):
-    """What a member currently is."""
+    """Role of a member."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "trial-candidate"
@@ -23,45 +23,45 @@
     """Intervals of the protocol, in seconds on the monotonic clock."""
 
     heartbeat_interval: float = 0.1
-    """Time between heartbeats of a leader."""
+    """Time between heartbeats of the leader."""
 
     election_timeout: float = 0.5
-    """Least silence after which a follower stands for election; at most twice this."""
+    """Minimum time without a leader before a follower starts an election; at most twice this."""
 
     lease_duration: float = 0.4
-    """How long a leader may act after a quorum answered; below `election` by the clock drift."""
+    """Time a lease lasts; shorter than `election_timeout` to allow for clock drift."""
 
 
 class Progress(msgspec.Struct, kw_only=True):
-    """What a leader knows of one other member."""
+    """Replication state of one other member, kept by the leader."""
 
     next_index: int
-    """First entry to send next."""
+    """Index of the next entry to send."""
 
     match_index: int = 0
-    """Last entry known to be held and synced by the member."""
+    """Index of the last entry that the member has acknowledged as synced."""
 
     answered_round: int = 0
     """Newest heartbeat round that the member answered."""
 
     last_seen_at: float = 0.0
-    """When the member last answered."""
+    """When the member last answered, on the monotonic clock."""
 
     awaiting_snapshot: bool = False
-    """True while a snapshot is being fetched or is under way."""
+    """True from the request for a snapshot until the next accepted reply."""
 
     snapshot_sent_at: float = 0.0
-    """When the snapshot was last asked for."""
+    """When the snapshot was last requested from the driver."""
 
 
 class Replica(msgspec.Struct, kw_only=True):
-    """One member: its durable state, its volatile state, and its pending output."""
+    """One member: its durable state, volatile state and pending output."""
 
     member_id: str
-    """Own member id; a box whose disk was lost returns under a new one."""
+    """Own member id; a box whose disk was lost gets a new one."""
 
     timing: Timing = msgspec.field(default_factory=Timing)
-    """Intervals."""
+    """Protocol intervals."""
 
     hard_state: HardState = msgspec.field(default_factory=HardState)
     """Term and vote."""
@@ -76,34 +76,34 @@
     """Leader of the current term, if known."""
 
     commit_index: int = 0
-    """Last entry known to be committed."""
+    """Index of the last entry known to be committed."""
 
     delivered_index: int = 0
-    """Last committed entry that was given to the driver."""
+    """Index of the last committed entry that was returned to the driver."""
 
     synced_index: int = 0
-    """Last entry that the own disk holds for certain."""
+    """Index of the last entry that is synced to the own disk."""
 
     votes: dict[str, bool] = msgspec.field(default_factory=dict)
     """Votes received in the current election."""
 
     progress: dict[str, Progress] = msgspec.field(default_factory=dict)
-    """Other members, while leading."""
+    """Replication state of the other members while leading."""
 
     newly_started: bool = True
-    """True until it leads or hears a leader for the first time since its process started."""
+    """True until it first leads or sees a leader after its process started."""
 
     newly_started_voters: set[str] = msgspec.field(default_factory=set)
-    """Voters that said in the current trial that they are fresh."""
+    """Voters that reported being newly started in the current pre-vote."""
 
     needs_all_votes: bool = False
-    """True in an election that takes the votes of all voters."""
+    """True in an election that requires the votes of all voters."""
 
     election_due: float = 0.0
-    """When to stand for election unless a leader is heard."""
+    """When to start a pre-vote unless a leader is seen."""
 
     leader_last_seen_at: float = 0.0
-    """When a leader was last heard; starts at the process start, see `election`."""
+    """When a leader was last seen; initially the process start, see `receive_vote_request`."""
 
     heartbeat_due: float = 0.0
     """When to send the next heartbeat."""
@@ -112,28 +112,28 @@
     """Newest heartbeat round."""
 
     round_sent_at: dict[int, float] = msgspec.field(default_factory=dict)
-    """When recent rounds were sent."""
+    """Send times of recent rounds."""
 
     transfer_target: str = ""
-    """Member that the leadership is being handed to."""
+    """Member that the leadership is being transferred to, or empty."""
 
     transfer_deadline: float = 0.0
-    """When an unfinished hand-over is given up."""
+    """When an unfinished leadership transfer is aborted."""
 
     lease_forfeited: bool = False
-    """True once a hand-over was asked for in this term: no lease until the next term."""
+    """True after a leadership transfer started: this member gets no lease in this term."""
 
     outbox: list[Envelope] = msgspec.field(default_factory=list)
-    """Messages to send once everything below is synced."""
+    """Messages to send once the writes below are synced."""
 
     unsynced_entries: list[LogEntry] = msgspec.field(default_factory=list)
-    """Entries to write; one with an index already written replaces it and all after it."""
+    """Entries to write; an entry replaces a stored one of the same index and all after it."""
 
     hard_state_dirty: bool = False
-    """True if `hard_state` must be written."""
+    """True if `hard_state` has changes to write."""
 
     incoming_snapshot: Snapshot | None = None
-    """Snapshot to write and to restore the state machine from."""
+    """Snapshot from the leader to write and to restore the state machine from."""
 
     snapshot_targets: list[str] = msgspec.field(default_factory=list)
     """Members that need the newest snapshot from this leader."""
@@ -145,32 +145,32 @@
 
     @property
     def is_leader(self) -> bool:
-        """True while this member believes that it leads."""
+        """True while this member is in the leader role."""
         return self.role is Role.LEADER
 
     @property
     def is_voter(self) -> bool:
-        """True if this member's vote counts by its own log."""
+        """True if this member is a voter according to its own log."""
         return self.member_id in self.log.members.voters
 
 
 class Ready(msgspec.Struct, frozen=True, kw_only=True):
-    """Work for the driver, to be done in the order of the fields.
+    """Work for the driver, to be processed in the order of the fields.
 
-    Everything up to `entries` is written and synced before any of `messages` is sent.
+    Everything up to `entries` must be written and synced before any of `messages` is sent.
     """
 
     hard_state: HardState | None
     """Term and vote to write."""
 
     snapshot: Snapshot | None
-    """Snapshot to write, replacing the journal, and to restore from."""
+    """Snapshot to write, which replaces the journal, and to restore from."""
 
     entries: tuple[LogEntry, ...]
     """Entries to write."""
 
     messages: tuple[Envelope, ...]
-    """Messages to send; losing one is harmless."""
+    """Messages to send; the protocol tolerates their loss."""
 
     committed: tuple[LogEntry, ...]
     """Entries to apply to the state machine."""
--- a/src/ledgeladder/coordination/raft/replication.py
+++ b/src/ledgeladder/coordination/raft/replication.py
@@ -1,4 +1,4 @@
-"""Replication: appending, acknowledging, committing, and snapshots for members left behind."""
+"""Log replication: appending, acknowledging, committing, and snapshots for lagging members."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from .replica import Progress, Replica
 
 MAX_APPEND_ENTRIES: Final = 512
-"""Most entries in one append request."""
+"""Maximum number of entries in one append request."""
 
 SNAPSHOT_RETRY_SECONDS: Final = 5.0
-"""How long to wait for the answer to a snapshot before sending it again."""
+"""Time without an answer to a snapshot after which it is sent again."""
 
 
 def broadcast(replica: Replica, now: float) -> None:
-    """Send every member what it lacks, or a heartbeat."""
+    """Send every member its missing entries, or a heartbeat."""
     start_heartbeat_round(replica, now)
     replica.heartbeat_due = now + replica.timing.heartbeat_interval
     for member, progress in replica.progress.items():
@@ -32,12 +32,12 @@
 
 
 def send_append(replica: Replica, member: str, progress: Progress, now: float) -> None:
-    """Send one member the entries that it lacks.
+    """Send one member its missing entries.
 
     Args:
         replica: The leader.
         member: The member to send to.
-        progress: What the leader knows of it.
+        progress: Its replication state.
         now: Monotonic time in seconds.
     """
     previous_term = replica.log.term_at(progress.next_index - 1)
@@ -53,7 +53,7 @@
         commit_index=replica.commit_index,
         round=replica.round,
     )
-    # The next entries are sent without waiting; a reply that rejects sets this back.
+    # Requests are pipelined; a rejection resets this index.
     progress.next_index += len(entries)
     send(replica, member, request)
 
@@ -68,11 +68,11 @@
 
 
 def send_snapshot(replica: Replica, member: str, snapshot: Snapshot) -> None:
-    """Send a member the newest snapshot, which the driver has read.
+    """Send a member the newest snapshot, read by the driver.
 
     Args:
         replica: The leader.
-        member: The member that wants it.
+        member: The member that needs it.
         snapshot: The newest snapshot on the leader's disk.
     """
     if replica.is_leader and member in replica.progress:
@@ -83,13 +83,13 @@
 def receive_append(
     replica: Replica, sender: str, request: AppendRequest, now: float, rng: random.Random
 ) -> None:
-    """Store the entries of the leader if they follow what is held."""
+    """Handle an append request: store its entries if the log matches the entry before them."""
     if not accept_leader(replica, sender, request.term, now, rng):
         _reply(replica, sender, request.round, accepted=False, index=replica.log.last_index)
         return
     log = replica.log
     if request.previous_index < log.base_index:
-        # Everything up to the snapshot is committed and matches by definition.
+        # Entries up to the snapshot are committed, hence they match.
         _reply(replica, sender, request.round, accepted=True, index=log.base_index)
         return
     if log.term_at(request.previous_index) != request.previous_term:
@@ -103,7 +103,7 @@
 
 
 def _conflict_hint(replica: Replica, index: int) -> int:
-    """Return the last index before the whole conflicting term."""
+    """Return the last index before the conflicting term, at least the commit index."""
     log = replica.log
     if index > log.last_index:
         return log.last_index
@@ -116,20 +116,20 @@
 def _store(replica: Replica, entries: tuple[LogEntry, ...]) -> None:
     log = replica.log
     for position, entry in enumerate(entries):
-        held = log.term_at(entry.index)
-        if held == entry.term:
+        existing_term = log.term_at(entry.index)
+        if existing_term == entry.term:
             continue
-        if held is not None:
+        if existing_term is not None:
             if entry.index <= replica.commit_index:
                 raise AssertionError(f"entry {entry.index} is committed and would be replaced")
             log.truncate(entry.index)
             replica.synced_index = min(replica.synced_index, entry.index - 1)
             replica.unsynced_entries = [
-                waiting for waiting in replica.unsynced_entries if waiting.index < entry.index
+                unsynced for unsynced in replica.unsynced_entries if unsynced.index < entry.index
             ]
-        rest = entries[position:]
-        log.append(rest)
-        replica.unsynced_entries.extend(rest)
+        new_entries = entries[position:]
+        log.append(new_entries)
+        replica.unsynced_entries.extend(new_entries)
         return
 
 
@@ -141,7 +141,7 @@
 def receive_snapshot(
     replica: Replica, sender: str, request: SnapshotRequest, now: float, rng: random.Random
 ) -> None:
-    """Replace the own log by the leader's snapshot if it is ahead."""
+    """Handle a snapshot from the leader: replace the log if the snapshot is ahead."""
     if not accept_leader(replica, sender, request.term, now, rng):
         _reply(replica, sender, request.round, accepted=False, index=replica.log.last_index)
         return
@@ -159,7 +159,7 @@
 def receive_append_reply(
     replica: Replica, sender: str, reply: AppendReply, now: float, rng: random.Random
 ) -> None:
-    """Note what a member holds and commit what a majority holds."""
+    """Handle a reply: update the member's progress and advance the commit index."""
     if reply.term > replica.term:
         become_follower(replica, reply.term, "", now, rng)
         return
@@ -184,7 +184,7 @@
 
 
 def advance_commit(replica: Replica) -> None:
-    """Commit what a majority of voters has synced, if it reaches into the current term."""
+    """Commit up to the last entry synced by a majority of voters, if it is of the current term."""
     if not replica.is_leader:
         return
     matched = []
--- a/tests/coordination/raft/schedule.py
+++ b/tests/coordination/raft/schedule.py
@@ -1,7 +1,7 @@
-"""Runs members of the replicated log under one seeded schedule and checks them after each step.
+"""Runs members of the replicated log under a seeded schedule and checks invariants at each step.
 
 The schedule loses, duplicates and reorders messages, crashes members with or without their last
-unsynced writes, freezes them, lets their clocks drift, and destroys disks.
+unsynced writes, freezes them, lets their clocks drift, and wipes disks.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class InvariantError(AssertionError):
-    """Something that must always hold did not."""
+    """A violated invariant."""
 
 
 @dataclass(kw_only=True)
 class Disk:
-    """What a member has written; `unsynced` is lost in a crash."""
+    """Storage of a member; a crash loses `unsynced`."""
 
     hard_state: raft.HardState = field(default_factory=raft.HardState)
     snapshot: raft.Snapshot | None = None
@@ -43,7 +43,7 @@
             self.snapshot = ready.snapshot
             self.entries = []
         for entry in ready.entries:
-            self.entries = [held for held in self.entries if held.index < entry.index]
+            self.entries = [stored for stored in self.entries if stored.index < entry.index]
             self.entries.append(entry)
 
 
@@ -53,7 +53,7 @@
 
     replica: raft.Replica
     disk: Disk
-    rate: float
+    clock_rate: float
     applied: list[bytes] = field(default_factory=list)
     applied_index: int = 0
     up: bool = True
@@ -62,37 +62,37 @@
 
 @dataclass(kw_only=True)
 class Schedule:
-    """A cluster, its message bag, and what has been seen so far."""
+    """A cluster, its messages in flight, and its leaders and committed entries so far."""
 
     seed: int
     voters: int = 3
     observers: int = 0
     """Learners that are never promoted."""
-    disturbance: float = 0.04
-    """Share of steps that crash, freeze, compact, hand over or change members."""
+    fault_rate: float = 0.04
+    """Fraction of steps that crash, freeze, compact, transfer leadership or change members."""
     skip_sync: bool = False
-    """Plants a bug: half of the syncs do nothing."""
+    """Injects a bug: half of the syncs do nothing."""
 
     rng: random.Random = field(init=False)
     now: float = 0.0
-    bag: list[raft.Envelope] = field(default_factory=list)
+    in_flight: list[raft.Envelope] = field(default_factory=list)
     members: dict[str, Member] = field(default_factory=dict)
     leaders: dict[int, str] = field(default_factory=dict)
     committed: dict[int, tuple[int, bytes]] = field(default_factory=dict)
-    names: int = 0
+    wiped_disks: int = 0
     proposals: int = 0
     initial: raft.Members = field(init=False)
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
-        ids = tuple(f"box{number}/initial" for number in range(self.voters))
-        watching = tuple(f"watch{number}/initial" for number in range(self.observers))
-        self.initial = raft.Members(voters=ids, learners=watching)
-        for member_id in ids + watching:
+        voter_ids = tuple(f"box{number}/initial" for number in range(self.voters))
+        observer_ids = tuple(f"watch{number}/initial" for number in range(self.observers))
+        self.initial = raft.Members(voters=voter_ids, learners=observer_ids)
+        for member_id in voter_ids + observer_ids:
             self.start(member_id, Disk(), self.initial)
 
     def start(self, member_id: str, disk: Disk, initial: raft.Members) -> None:
-        rate = self.rng.uniform(0.95, 1.05)
+        clock_rate = self.rng.uniform(0.95, 1.05)
         replica = raft.restore_replica(
             member_id=member_id,
             timing=raft.Timing(),
@@ -100,10 +100,10 @@
             snapshot=disk.snapshot,
             entries=list(disk.entries),
             initial_members=initial,
-            now=self.now * rate,
+            now=self.now * clock_rate,
             rng=self.rng,
         )
-        member = Member(replica=replica, disk=disk, rate=rate)
+        member = Member(replica=replica, disk=disk, clock_rate=clock_rate)
         if disk.snapshot is not None:
             member.applied = msgspec.msgpack.decode(disk.snapshot.data, type=list[bytes])
             member.applied_index = disk.snapshot.index
@@ -115,13 +115,13 @@
         self.start(member_id, member.disk, self.initial if known else raft.Members(voters=()))
 
     def clock(self, member: Member) -> float:
-        return self.now * member.rate
+        return self.now * member.clock_rate
 
     def active(self, member: Member) -> bool:
         return member.up and member.frozen_until <= self.now
 
-    def pump(self, member: Member) -> None:
-        """Do the work that the core asks for, as a daemon does."""
+    def process_ready(self, member: Member) -> None:
+        """Process the pending work of a member as a daemon does."""
         while True:
             ready = raft.take_ready(member.replica)
             work = (ready.hard_state, ready.snapshot, ready.entries, ready.messages)
@@ -133,7 +133,7 @@
                 return
             if not (self.skip_sync and self.rng.random() < 0.5):
                 member.disk.sync()
-            self.bag.extend(ready.messages)
+            self.in_flight.extend(ready.messages)
             if ready.snapshot is not None:
                 member.applied = msgspec.msgpack.decode(ready.snapshot.data, type=list[bytes])
                 member.applied_index = ready.snapshot.index
@@ -161,43 +161,43 @@
         member.up = False
 
     def step(self) -> None:
-        """Let one random thing happen, then check."""
+        """Execute one random event, then check the invariants."""
         self.now += self.rng.uniform(0.0, 0.02)
-        roll = self.rng.random()
-        if roll < 0.62:
+        draw = self.rng.random()
+        if draw < 0.62:
             self.deliver()
-        elif roll < 0.94 - self.disturbance:
+        elif draw < 0.94 - self.fault_rate:
             self.tick_all()
-        elif roll < 1.0 - self.disturbance:
+        elif draw < 1.0 - self.fault_rate:
             self.propose()
         else:
-            self.disturb()
+            self.inject_fault()
         self.check()
 
     def deliver(self) -> None:
-        for _ in range(min(len(self.bag), 6)):
-            position = self.rng.randrange(min(len(self.bag), 12))
-            envelope = self.bag.pop(position)
+        for _ in range(min(len(self.in_flight), 6)):
+            position = self.rng.randrange(min(len(self.in_flight), 12))
+            envelope = self.in_flight.pop(position)
             chance = self.rng.random()
             if chance < 0.04:
                 continue
             if chance < 0.08:
-                self.bag.append(envelope)
+                self.in_flight.append(envelope)
             member = self.members.get(envelope.target)
             if member is None or not member.up:
                 continue
             if not self.active(member):
-                self.bag.append(envelope)
+                self.in_flight.append(envelope)
                 continue
             raft.receive(member.replica, envelope, self.clock(member), self.rng)
-            self.pump(member)
-        del self.bag[:-400]
+            self.process_ready(member)
+        del self.in_flight[:-400]
 
     def tick_all(self) -> None:
         for member in list(self.members.values()):
             if self.active(member):
                 raft.tick(member.replica, self.clock(member), self.rng)
-                self.pump(member)
+                self.process_ready(member)
 
     def propose(self) -> None:
         for member in list(self.members.values()):
@@ -205,32 +205,32 @@
                 self.proposals += 1
                 raft.propose(member.replica, b"command-%d" % self.proposals)
                 raft.flush(member.replica, self.clock(member))
-                self.pump(member)
+                self.process_ready(member)
 
-    def disturb(self) -> None:
+    def inject_fault(self) -> None:
         member = self.rng.choice(list(self.members.values()))
-        roll = self.rng.random()
+        draw = self.rng.random()
         if not member.up:
-            if roll < 0.15:
-                self.lose_disk(member)
+            if draw < 0.15:
+                self.wipe_disk(member)
             else:
                 self.restart(member)
             return
-        if roll < 0.15:
+        if draw < 0.15:
             self.crash(member)
-        elif roll < 0.30:
+        elif draw < 0.30:
             member.frozen_until = self.now + self.rng.uniform(0.1, 3.0)
-        elif roll < 0.50:
+        elif draw < 0.50:
             self.compact(member)
-        elif roll < 0.60 and self.active(member) and member.replica.is_leader:
+        elif draw < 0.60 and self.active(member) and member.replica.is_leader:
             target = self.rng.choice(member.replica.log.members.voters)
             raft.transfer_leadership(member.replica, target, self.clock(member))
-            self.pump(member)
+            self.process_ready(member)
         else:
             self.change_members()
 
-    def lose_disk(self, member: Member) -> None:
-        """Replace a member by an empty one under a new id, unless a majority would be gone."""
+    def wipe_disk(self, member: Member) -> None:
+        """Replace a member by an empty one under a new id, unless a majority would be lost."""
         if member.replica.member_id.startswith("watch"):
             return
         intact = set(self.members) - {member.replica.member_id}
@@ -240,18 +240,18 @@
                 if remaining < raft.quorum(len(members.voters)) and members.voters:
                     return
         del self.members[member.replica.member_id]
-        self.names += 1
+        self.wiped_disks += 1
         box = member.replica.member_id.partition("/")[0]
-        self.start(f"{box}/r{self.names}", Disk(), raft.Members(voters=()))
+        self.start(f"{box}/r{self.wiped_disks}", Disk(), raft.Members(voters=()))
 
     def change_members(self) -> None:
         for member in list(self.members.values()):
             if not self.active(member) or not member.replica.is_leader:
                 continue
-            wanted = next_members(member.replica, set(self.members))
-            if wanted is not None:
-                raft.propose_members(member.replica, wanted)
-                self.pump(member)
+            changed = next_members(member.replica, set(self.members))
+            if changed is not None:
+                raft.propose_members(member.replica, changed)
+                self.process_ready(member)
 
     def compact(self, member: Member) -> None:
         if not self.active(member) or member.disk.unsynced:
@@ -272,7 +272,7 @@
         log.compact(index)
 
     def check(self) -> None:
-        holders = []
+        lease_holders = []
         for member_id, member in self.members.items():
             if not member.up:
                 continue
@@ -280,12 +280,12 @@
             if replica.is_leader and self.leaders.setdefault(replica.term, member_id) != member_id:
                 raise InvariantError(f"two leaders in term {replica.term}")
             if raft.holds_lease(replica, self.clock(member)):
-                holders.append(member_id)
-        if len(holders) > 1:
-            raise InvariantError(f"leases held by {holders}")
+                lease_holders.append(member_id)
+        if len(lease_holders) > 1:
+            raise InvariantError(f"leases held by {lease_holders}")
 
     def settle(self) -> None:
-        """Start everybody, stop disturbing, and expect one command to reach all members."""
+        """Start all members, stop the faults, and expect one command to reach every member."""
         for member in list(self.members.values()):
             member.frozen_until = 0.0
             if not member.up:
@@ -307,30 +307,30 @@
             for member in list(self.members.values()):
                 if not member.up:
                     self.restart(member)
-        raise InvariantError("no progress after the disturbances ended")
+        raise InvariantError("no progress after the faults stopped")
 
 
 def next_members(replica: raft.Replica, present: set[str]) -> raft.Members | None:
-    """Replace lost voters by learners, and learners that caught up by voters."""
+    """Replace lost voters by learners, and promote learners that caught up."""
     members = replica.log.members
     for learner in members.learners:
         progress = replica.progress.get(learner)
         if learner.startswith("watch"):
             continue
         if learner in present and progress and progress.match_index == replica.log.last_index:
-            rest = tuple(other for other in members.learners if other != learner)
-            return raft.Members(voters=(*members.voters, learner), learners=rest)
+            remaining = tuple(other for other in members.learners if other != learner)
+            return raft.Members(voters=(*members.voters, learner), learners=remaining)
     known = set(members.all_ids)
-    for newcomer in sorted(present - known):
-        box = newcomer.partition("/")[0]
+    for new_member in sorted(present - known):
+        box = new_member.partition("/")[0]
         voters = tuple(v for v in members.voters if not v.startswith(f"{box}/"))
         learners = tuple(m for m in members.learners if not m.startswith(f"{box}/"))
-        return raft.Members(voters=voters, learners=(*learners, newcomer))
+        return raft.Members(voters=voters, learners=(*learners, new_member))
     return None
 
 
 def run(seed: int, *, steps: int = 1200, **options: Any) -> Schedule:
-    """Run one schedule to its end; `options` are those of `Schedule`."""
+    """Run one schedule to its end; `options` are fields of `Schedule`."""
     schedule = Schedule(seed=seed, **options)
     for _ in range(steps):
         schedule.step()
--- a/tests/coordination/raft/test_election.py
+++ b/tests/coordination/raft/test_election.py
@@ -1,4 +1,4 @@
-"""Elections of members that all start at about the same time, and what keeps leases safe."""
+"""Elections right after a start, which must not violate a lease granted before it."""
 
 from __future__ import annotations
 
@@ -27,36 +27,38 @@
     )
 
 
-def seconds_to_leader(seed: int, up: Collection[str] = MEMBERS) -> float:
-    """Start members within 0.1 s, and return when one of them leads.
+def seconds_to_election(seed: int, up: Collection[str] = MEMBERS) -> float:
+    """Start members within 0.1 s and return when one of them becomes the leader.
 
-    Messages take one step and are written at once.
+    Messages take one step; writes are synced at once.
     """
     rng = random.Random(seed)
     starts = {member_id: rng.uniform(0.0, 0.1) for member_id in up}
     replicas: dict[str, raft.Replica] = {}
-    bag: list[raft.Envelope] = []
+    in_flight: list[raft.Envelope] = []
     now = 0.0
     while not any(replica.is_leader for replica in replicas.values()):
         now += STEP_SECONDS
         assert now < 60.0
-        for member_id, at in starts.items():
-            if at <= now and member_id not in replicas:
+        for member_id, started_at in starts.items():
+            if started_at <= now and member_id not in replicas:
                 replicas[member_id] = start(member_id, now, rng)
-        arriving, bag = bag, []
-        for envelope in arriving:
+        delivered, in_flight = in_flight, []
+        for envelope in delivered:
             if envelope.target in replicas:
                 raft.receive(replicas[envelope.target], envelope, now, rng)
         for replica in replicas.values():
             raft.tick(replica, now, rng)
             ready = raft.take_ready(replica)
             raft.record_synced(replica, ready, now, rng)
-            bag += ready.messages
+            in_flight += ready.messages
     return now
 
 
-def answers(replica: raft.Replica, request: raft.VoteRequest, now: float) -> list[raft.VoteReply]:
-    """Return what a member answers to a candidate."""
+def vote_replies(
+    replica: raft.Replica, request: raft.VoteRequest, now: float
+) -> list[raft.VoteReply]:
+    """Return the replies of a member to a vote request."""
     rng = random.Random(1)
     envelope = raft.Envelope(sender="b", target="a", message=request)
     raft.receive(replica, envelope, now, rng)
@@ -70,29 +72,29 @@
     )
 
 
-def test_members_that_all_start_together_need_no_silence() -> None:
-    """Nobody leads where every voter has just started."""
-    times = sorted(seconds_to_leader(seed) for seed in range(200))
+def test_members_that_start_together_elect_before_the_election_timeout() -> None:
+    """No lease can exist if every voter is newly started."""
+    times = sorted(seconds_to_election(seed) for seed in range(200))
     assert times[len(times) // 2] < ELECTION_SECONDS
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_without_one_of_them_the_silence_holds(seed: int) -> None:
-    """The one that is missing may lead, with a lease that one of the others has granted."""
-    assert seconds_to_leader(seed, ("a", "b")) >= ELECTION_SECONDS
+def test_missing_voter_delays_the_election_by_the_timeout(seed: int) -> None:
+    """The missing voter may lead with a lease that one of the others granted before its restart."""
+    assert seconds_to_election(seed, ("a", "b")) >= ELECTION_SECONDS
 
 
-def test_member_in_its_silence_grants_only_what_needs_all_votes() -> None:
-    assert answers(start("a", 0.0, random.Random(1)), request(pre_vote=False), 0.1) == []
-    told = answers(start("a", 0.0, random.Random(1)), request(pre_vote=True), 0.1)
-    assert [(item.granted, item.newly_started) for item in told] == [(False, True)]
-    agreed = request(pre_vote=False, unanimous=True)
-    granted = answers(start("a", 0.0, random.Random(1)), agreed, 0.1)
+def test_newly_started_member_grants_only_unanimous_elections() -> None:
+    assert vote_replies(start("a", 0.0, random.Random(1)), request(pre_vote=False), 0.1) == []
+    replies = vote_replies(start("a", 0.0, random.Random(1)), request(pre_vote=True), 0.1)
+    assert [(item.granted, item.newly_started) for item in replies] == [(False, True)]
+    unanimous_request = request(pre_vote=False, unanimous=True)
+    granted = vote_replies(start("a", 0.0, random.Random(1)), unanimous_request, 0.1)
     assert [item.granted for item in granted] == [True]
 
 
-def test_member_that_has_heard_a_leader_stays_silent_to_all_of_them() -> None:
-    for asked in (request(pre_vote=True), request(pre_vote=False, unanimous=True)):
+def test_member_that_saw_a_leader_answers_no_vote_request() -> None:
+    for vote_request in (request(pre_vote=True), request(pre_vote=False, unanimous=True)):
         replica = start("a", 0.0, random.Random(1))
         heartbeat = raft.AppendRequest(
             term=0, previous_index=0, previous_term=0, entries=(), commit_index=0, round=1
@@ -100,10 +102,10 @@
         envelope = raft.Envelope(sender="c", target="a", message=heartbeat)
         raft.receive(replica, envelope, 0.05, random.Random(1))
         raft.take_ready(replica)
-        assert answers(replica, asked, 0.1) == []
+        assert vote_replies(replica, vote_request, 0.1) == []
 
 
-def test_votes_of_a_majority_are_not_enough_for_it() -> None:
+def test_unanimous_election_is_not_won_by_a_majority() -> None:
     rng = random.Random(1)
     replica = start("a", 0.0, rng)
     raft.tick(replica, replica.election_due, rng)
@@ -124,8 +126,8 @@
     assert replica.is_leader
 
 
-def test_own_vote_is_bound_by_the_own_silence() -> None:
-    """The others may have lost a leader whose lease this member granted before it restarted."""
+def test_own_vote_waits_for_the_election_timeout() -> None:
+    """This member may have granted a lease before its restart to a leader the others cannot see."""
     rng = random.Random(1)
     replica = start("a", 0.0, rng)
     raft.tick(replica, replica.election_due, rng)
--- a/tests/coordination/raft/test_face.py
+++ b/tests/coordination/raft/test_public_names.py
@@ -1,4 +1,4 @@
-"""The face of the replicated log, whose modules are loaded at their first use."""
+"""The package resolves every public name to its lazily imported submodule."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 @pytest.mark.parametrize("name", raft.__all__)
-def test_every_name_is_found(name: str) -> None:
+def test_every_public_name_is_resolved(name: str) -> None:
     assert getattr(raft, name).__module__.startswith(raft.__name__) or name == "Message"
 
 
-def test_other_names_are_none() -> None:
+def test_unknown_name_raises_attribute_error() -> None:
     with pytest.raises(AttributeError):
         raft.nothing  # noqa: B018
--- a/tests/coordination/raft/test_schedules.py
+++ b/tests/coordination/raft/test_schedules.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of the replicated log, and proof that they catch planted bugs."""
+"""Seeded schedules of the replicated log find no violated invariant, but detect injected bugs."""
 
 from __future__ import annotations
 
@@ -26,12 +26,14 @@
 
 
 @pytest.mark.parametrize("voters", [3, 5])
-@pytest.mark.parametrize("leader_is_wiped", [False, True])
-def test_disks_are_lost_while_all_others_lose_power(voters: int, leader_is_wiped: bool) -> None:
-    """The pattern: a command was just acknowledged; as many disks as may be lost are, the leader's
-    among them or not, and at the same moment all other boxes lose power."""
+@pytest.mark.parametrize("wipes_leader", [False, True])
+def test_acknowledged_commands_survive_wiped_disks_and_power_loss(
+    voters: int, wipes_leader: bool
+) -> None:
+    """A minority of disks, with or without the leader's, is wiped right after a command was
+    acknowledged, while all other boxes lose power."""
     for seed in range(SCHEDULES // 6):
-        schedule = Schedule(seed=seed, voters=voters, disturbance=0.0)
+        schedule = Schedule(seed=seed, voters=voters, fault_rate=0.0)
         schedule.settle()
         for _ in range(60):
             schedule.step()
@@ -40,23 +42,23 @@
         )
         ranked = sorted(
             schedule.members.values(),
-            key=lambda member: member.replica.is_leader is not leader_is_wiped,
+            key=lambda member: member.replica.is_leader is not wipes_leader,
         )
         before = set(schedule.members)
         for member in ranked[: (voters - 1) // 2]:
-            schedule.lose_disk(member)
+            schedule.wipe_disk(member)
         for member in schedule.members.values():
             if member.replica.member_id in before:
                 schedule.crash(member)
         assert len(before - set(schedule.members)) == (voters - 1) // 2
-        schedule.bag.clear()
+        schedule.in_flight.clear()
         schedule.settle()
         for member in schedule.members.values():
             assert set(acknowledged) <= set(member.applied), f"seed {seed}"
 
 
-def caught(seeds: int = 400, **options: Any) -> bool:
-    """Tell whether some schedule breaks an invariant; to make no progress does not count."""
+def violates_invariant(seeds: int = 400, **options: Any) -> bool:
+    """Return whether some schedule violates an invariant; missing progress does not count."""
     for seed in range(seeds):
         try:
             run(seed, **options)
@@ -66,37 +68,37 @@
     return False
 
 
-def test_catches_skipped_sync() -> None:
-    assert caught(skip_sync=True)
+def test_detects_skipped_sync() -> None:
+    assert violates_invariant(skip_sync=True)
 
 
-def test_catches_double_vote(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detects_double_vote(monkeypatch: pytest.MonkeyPatch) -> None:
     original = election.receive_vote_request
 
-    def forgetful(replica, sender, request, now, rng):
-        replica.hard_state = replace_vote(replica.hard_state)
+    def handle_without_vote(replica, sender, request, now, rng):
+        replica.hard_state = without_vote(replica.hard_state)
         original(replica, sender, request, now, rng)
 
-    monkeypatch.setattr(core, "receive_vote_request", forgetful)
-    assert caught()
+    monkeypatch.setattr(core, "receive_vote_request", handle_without_vote)
+    assert violates_invariant()
 
 
-def replace_vote(state: raft.HardState) -> raft.HardState:
+def without_vote(state: raft.HardState) -> raft.HardState:
     return raft.HardState(term=state.term, voted_for="")
 
 
-def test_catches_missing_term_check(monkeypatch: pytest.MonkeyPatch) -> None:
-    def careless(replica, sender, term, now, rng):
+def test_detects_missing_term_check(monkeypatch: pytest.MonkeyPatch) -> None:
+    def accept_any_term(replica, sender, term, now, rng):
         election.become_follower(replica, max(term, replica.term), sender, now, rng)
         replica.leader_last_seen_at = now
         return True
 
-    monkeypatch.setattr(replication, "accept_leader", careless)
-    assert caught()
+    monkeypatch.setattr(replication, "accept_leader", accept_any_term)
+    assert violates_invariant()
 
 
-def test_catches_counted_learner(monkeypatch: pytest.MonkeyPatch) -> None:
-    def generous(replica):
+def test_detects_counted_learner(monkeypatch: pytest.MonkeyPatch) -> None:
+    def commit_with_learners(replica):
         if not replica.is_leader:
             return
         matched = [replica.synced_index]
@@ -106,13 +108,13 @@
         if candidate > replica.commit_index and replica.log.term_at(candidate) == replica.term:
             replica.commit_index = candidate
 
-    monkeypatch.setattr(core, "advance_commit", generous)
-    monkeypatch.setattr(replication, "advance_commit", generous)
-    assert caught(observers=2)
+    monkeypatch.setattr(core, "advance_commit", commit_with_learners)
+    monkeypatch.setattr(replication, "advance_commit", commit_with_learners)
+    assert violates_invariant(observers=2)
 
 
 def leader_of_term_four() -> raft.Replica:
-    """A leader of five whose log ends with an entry of term 2 and one of its own term."""
+    """Return a leader of five voters whose log ends with an entry of term 2 and one of term 4."""
     entries = [
         raft.LogEntry(index=index, term=term, kind=raft.EntryKind.COMMAND, data=b"")
         for index, term in ((1, 1), (2, 2), (3, 4))
@@ -129,8 +131,8 @@
     return replica
 
 
-def test_entry_of_earlier_term_commits_only_under_one_of_the_own() -> None:
-    """Figure 8 of the Raft paper, which random schedules do not reach."""
+def test_entry_of_earlier_term_commits_only_through_the_current_term() -> None:
+    """Guards against figure 8 of the Raft paper, which the random schedules do not reach."""
     replica = leader_of_term_four()
     replica.progress["b"].match_index = 2
     replica.progress["c"].match_index = 2
@@ -142,17 +144,17 @@
     assert replica.commit_index == 3
 
 
-def test_catches_lease_beyond_election_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detects_lease_beyond_election_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     original = raft.Timing
     monkeypatch.setattr(raft, "Timing", lambda: replace(original(), lease_duration=1.5))
-    assert caught()
+    assert violates_invariant()
 
 
-def test_no_progress_is_an_error() -> None:
+def test_missing_progress_raises_an_error() -> None:
     with pytest.raises(InvariantError):
         schedule = run(1, steps=1)
         for member in schedule.members.values():
-            member.rate = 0.0
+            member.clock_rate = 0.0
             member.applied.clear()
-        schedule.bag.clear()
+        schedule.in_flight.clear()
         schedule.settle()
