--- a/src/ledgeladder/coordination/membership/__init__.py
+++ b/src/ledgeladder/coordination/membership/__init__.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .core import is_representative, leave, next_due, receive, start, tick, watchers
+from .core import is_representative, join, leave, next_due, receive, tick, watchers
 from .gossip import fingerprint, merge, merge_report
 from .messages import (
     Ack,
@@ -37,13 +37,13 @@
     "alive",
     "fingerprint",
     "is_representative",
+    "join",
     "leave",
     "merge",
     "merge_report",
     "next_due",
     "own_update",
     "receive",
-    "start",
     "tick",
     "watchers",
 ]
--- a/src/ledgeladder/coordination/membership/core.py
+++ b/src/ledgeladder/coordination/membership/core.py
@@ -14,7 +14,7 @@
 import zlib
 from typing import Final
 
-from .gossip import everything, fingerprint, merge, merge_member, take_gossip
+from .gossip import fingerprint, full_state, merge, merge_member, pop_gossip
 from .messages import (
     Ack,
     Datagram,
@@ -29,23 +29,23 @@
 )
 from .state import Membership, Probe, alive, own_update
 
-HELPERS: Final = 2
+INDIRECT_PROBES: Final = 2
 """Boxes that are asked to probe in place of the own one."""
 
-START_SEEDS: Final = 4
+SEEDS_PER_JOIN: Final = 4
 """Seeds that are asked at a time."""
 
-GIVE_UP_SHARE: Final = 0.95
+PROBE_TIMEOUT_SHARE: Final = 0.95
 """Share of the time between probes after which an unanswered one is given up."""
 
-EXPIRY_SECONDS: Final = 0.25
+EXPIRY_CHECK_SECONDS: Final = 0.25
 """Time between two looks at all boxes for suspicions that have run out."""
 
-SECTION_SIZE: Final = 16
+DIGEST_CHUNK_SIZE: Final = 16
 """Claims or reports in one datagram of a full digest."""
 
 
-def start(membership: Membership) -> list[Datagram]:
+def join(membership: Membership) -> list[Datagram]:
     """Ask a few seeds for their beliefs; called again, it asks the next ones.
 
     Asking all of them would cost every box a digest of every other box when many start together.
@@ -59,9 +59,9 @@
     gossip = Gossip(members=(own_update(membership),))
     digest = Digest(sender=membership.name, gossip=gossip, reply_to=membership.address)
     seeds = [seed for seed in membership.seeds if seed != membership.address]
-    first = zlib.crc32(membership.name.encode()) + membership.number * START_SEEDS
-    membership.number += 1
-    chosen = {seeds[(first + step) % len(seeds)] for step in range(START_SEEDS) if seeds}
+    first = zlib.crc32(membership.name.encode()) + membership.sequence_number * SEEDS_PER_JOIN
+    membership.sequence_number += 1
+    chosen = {seeds[(first + step) % len(seeds)] for step in range(SEEDS_PER_JOIN) if seeds}
     return [Datagram(address=seed, message=digest) for seed in sorted(chosen)]
 
 
@@ -87,16 +87,16 @@
     """
     sent: list[Datagram] = []
     if now >= membership.expiry_due:
-        membership.expiry_due = now + EXPIRY_SECONDS
-        _expire(membership, now)
+        membership.expiry_due = now + EXPIRY_CHECK_SECONDS
+        _expire_members(membership, now)
     if membership.probe is not None:
-        sent += _follow_up(membership, membership.probe, now, rng)
+        sent += _check_probe(membership, membership.probe, now, rng)
     if now >= membership.probe_due:
-        membership.probe_due = now + membership.timing.probe
+        membership.probe_due = now + membership.timing.probe_interval
         sent += _start_probe(membership, now, rng)
     if now >= membership.summary_due:
-        membership.summary_due = now + membership.timing.summary * rng.uniform(0.8, 1.2)
-        sent += _compare(membership, rng)
+        membership.summary_due = now + membership.timing.summary_interval * rng.uniform(0.8, 1.2)
+        sent += _send_summaries(membership, rng)
     return sent
 
 
@@ -107,8 +107,8 @@
     if probe is None:
         return due
     timing = membership.timing
-    follow_up = timing.probe * GIVE_UP_SHARE if probe.indirect else timing.answer
-    return min(due, probe.sent_at + follow_up)
+    timeout = timing.probe_interval * PROBE_TIMEOUT_SHARE if probe.indirect else timing.ack_timeout
+    return min(due, probe.sent_at + timeout)
 
 
 def receive(membership: Membership, message: MembershipMessage, now: float) -> list[Datagram]:
@@ -124,14 +124,14 @@
     """
     match message:
         case Ping():
-            return _answer_ping(membership, message, now)
+            return _handle_ping(membership, message, now)
         case Ack():
-            return _take_ack(membership, message, now)
+            return _handle_ack(membership, message, now)
         case ProbeRequest():
-            gossip = take_gossip(membership)
+            gossip = pop_gossip(membership)
             ping = Ping(
                 sender=membership.name,
-                number=message.number,
+                sequence_number=message.sequence_number,
                 gossip=gossip,
                 on_behalf_of=message.reply_to,
             )
@@ -139,27 +139,32 @@
         case Summary():
             if message.fingerprint == fingerprint(membership):
                 return []
-            return _sections(membership, message.reply_to, want_reply=True)
+            return _digest_chunks(membership, message.reply_to, request_reply=True)
         case Digest():
             merge(membership, message.gossip, now)
             if not message.reply_to:
                 return []
-            return _sections(membership, message.reply_to, want_reply=False)
+            return _digest_chunks(membership, message.reply_to, request_reply=False)
 
 
-def _answer_ping(membership: Membership, ping: Ping, now: float) -> list[Datagram]:
+def _handle_ping(membership: Membership, ping: Ping, now: float) -> list[Datagram]:
     merge(membership, ping.gossip, now)
     address = ping.on_behalf_of or _address_of(membership, ping.sender)
     if not address or membership.left:
         return []
-    ack = Ack(sender=membership.name, number=ping.number, gossip=take_gossip(membership))
+    ack = Ack(
+        sender=membership.name, sequence_number=ping.sequence_number, gossip=pop_gossip(membership)
+    )
     return [Datagram(address=address, message=ack)]
 
 
-def _take_ack(membership: Membership, ack: Ack, now: float) -> list[Datagram]:
+def _handle_ack(membership: Membership, ack: Ack, now: float) -> list[Datagram]:
     merge(membership, ack.gossip, now)
     probe = membership.probe
-    if probe is not None and (probe.target, probe.number) == (ack.sender, ack.number):
+    if probe is not None and (probe.target, probe.sequence_number) == (
+        ack.sender,
+        ack.sequence_number,
+    ):
         membership.probe = None
     return []
 
@@ -170,83 +175,87 @@
 
 
 def _neighbours(membership: Membership) -> list[MemberUpdate]:
-    found = alive(membership, membership.failure_domain)
-    return [update for update in found if update.name != membership.name]
+    domain_boxes = alive(membership, membership.failure_domain)
+    return [update for update in domain_boxes if update.name != membership.name]
 
 
 def _start_probe(membership: Membership, now: float, rng: random.Random) -> list[Datagram]:
     if membership.left:
         return []
     names = {update.name: update for update in _neighbours(membership)}
-    membership.order = [name for name in membership.order if name in names]
-    if not membership.order:
-        membership.order = list(names)
-        rng.shuffle(membership.order)
-    if not membership.order:
-        return start(membership)
-    target = names[membership.order.pop()]
-    membership.number += 1
-    membership.probe = Probe(target=target.name, number=membership.number, sent_at=now)
+    membership.probe_order = [name for name in membership.probe_order if name in names]
+    if not membership.probe_order:
+        membership.probe_order = list(names)
+        rng.shuffle(membership.probe_order)
+    if not membership.probe_order:
+        return join(membership)
+    target = names[membership.probe_order.pop()]
+    membership.sequence_number += 1
+    membership.probe = Probe(
+        target=target.name, sequence_number=membership.sequence_number, sent_at=now
+    )
     # The claim about the target rides along, so that a suspected box hears of it and refutes.
-    gossip = take_gossip(membership)
+    gossip = pop_gossip(membership)
     gossip = Gossip(
         members=(*gossip.members, target, own_update(membership)), reports=gossip.reports
     )
-    ping = Ping(sender=membership.name, number=membership.number, gossip=gossip)
+    ping = Ping(sender=membership.name, sequence_number=membership.sequence_number, gossip=gossip)
     return [Datagram(address=target.address, message=ping)]
 
 
-def _follow_up(
+def _check_probe(
     membership: Membership, probe: Probe, now: float, rng: random.Random
 ) -> list[Datagram]:
     waited = now - probe.sent_at
     timing = membership.timing
-    if waited >= timing.probe * GIVE_UP_SHARE:
+    if waited >= timing.probe_interval * PROBE_TIMEOUT_SHARE:
         membership.probe = None
         _suspect(membership, probe.target, now)
         return []
-    if waited < timing.answer or probe.indirect:
+    if waited < timing.ack_timeout or probe.indirect:
         return []
     probe.indirect = True
     target = membership.members.get(probe.target)
-    helpers = [update for update in _neighbours(membership) if update.name != probe.target]
-    if target is None or not helpers:
+    relays = [update for update in _neighbours(membership) if update.name != probe.target]
+    if target is None or not relays:
         return []
     request = ProbeRequest(
         sender=membership.name,
-        number=probe.number,
+        sequence_number=probe.sequence_number,
         reply_to=membership.address,
         target=target.update.address,
     )
-    chosen = rng.sample(helpers, min(HELPERS, len(helpers)))
-    return [Datagram(address=helper.address, message=request) for helper in chosen]
+    chosen = rng.sample(relays, min(INDIRECT_PROBES, len(relays)))
+    return [Datagram(address=relay.address, message=request) for relay in chosen]
 
 
 def _suspect(membership: Membership, name: str, now: float) -> None:
     view = membership.members.get(name)
     if view is None or view.update.status is not MemberStatus.ALIVE:
         return
-    _claim(membership, view.update, MemberStatus.SUSPECT, now)
+    _set_status(membership, view.update, MemberStatus.SUSPECT, now)
 
 
-def _claim(membership: Membership, update: MemberUpdate, status: MemberStatus, now: float) -> None:
-    claim = MemberUpdate(
+def _set_status(
+    membership: Membership, update: MemberUpdate, status: MemberStatus, now: float
+) -> None:
+    changed = MemberUpdate(
         name=update.name,
         failure_domain=update.failure_domain,
         address=update.address,
         incarnation=update.incarnation,
         status=status,
     )
-    merge_member(membership, claim, now)
+    merge_member(membership, changed, now)
 
 
-def _expire(membership: Membership, now: float) -> None:
+def _expire_members(membership: Membership, now: float) -> None:
     timing = membership.timing
     for name, view in list(membership.members.items()):
         age = now - view.since
-        if view.update.status is MemberStatus.SUSPECT and age >= timing.suspicion:
-            _claim(membership, view.update, MemberStatus.DEAD, now)
-        elif view.update.status >= MemberStatus.DEAD and age >= timing.forget:
+        if view.update.status is MemberStatus.SUSPECT and age >= timing.suspicion_timeout:
+            _set_status(membership, view.update, MemberStatus.DEAD, now)
+        elif view.update.status >= MemberStatus.DEAD and age >= timing.dead_retention:
             del membership.members[name]
 
 
@@ -256,7 +265,7 @@
     return bool(neighbours) and neighbours[0].name == membership.name
 
 
-def _compare(membership: Membership, rng: random.Random) -> list[Datagram]:
+def _send_summaries(membership: Membership, rng: random.Random) -> list[Datagram]:
     if membership.left or not is_representative(membership):
         return []
     summary = Summary(
@@ -270,35 +279,35 @@
         candidates = [update for update in others if update.failure_domain == failure_domain]
         if failure_domain != membership.failure_domain:
             sent.append(Datagram(address=rng.choice(candidates).address, message=summary))
-    return sent + _knock_on_lost_seeds(membership, rng)
+    return sent + _contact_missing_seeds(membership, rng)
 
 
-def _knock_on_lost_seeds(membership: Membership, rng: random.Random) -> list[Datagram]:
+def _contact_missing_seeds(membership: Membership, rng: random.Random) -> list[Datagram]:
     """Ask one seed that is not among the live boxes, so that healed cuts are noticed."""
     known = {update.address for update in alive(membership)}
-    lost = [seed for seed in membership.seeds if seed not in known]
-    if not lost:
+    missing = [seed for seed in membership.seeds if seed not in known]
+    if not missing:
         return []
     digest = Digest(
         sender=membership.name,
         gossip=Gossip(members=(own_update(membership),)),
         reply_to=membership.address,
     )
-    return [Datagram(address=rng.choice(lost), message=digest)]
+    return [Datagram(address=rng.choice(missing), message=digest)]
 
 
-def _sections(membership: Membership, address: str, *, want_reply: bool) -> list[Datagram]:
+def _digest_chunks(membership: Membership, address: str, *, request_reply: bool) -> list[Datagram]:
     """Send all beliefs in datagrams of bounded size."""
-    gossip = everything(membership)
+    gossip = full_state(membership)
     count = max(len(gossip.members), len(gossip.reports))
     sent: list[Datagram] = []
-    for first in range(0, count, SECTION_SIZE):
-        part = Gossip(
-            members=gossip.members[first : first + SECTION_SIZE],
-            reports=gossip.reports[first : first + SECTION_SIZE],
+    for first in range(0, count, DIGEST_CHUNK_SIZE):
+        chunk = Gossip(
+            members=gossip.members[first : first + DIGEST_CHUNK_SIZE],
+            reports=gossip.reports[first : first + DIGEST_CHUNK_SIZE],
         )
-        reply_to = membership.address if want_reply and first == 0 else ""
-        digest = Digest(sender=membership.name, gossip=part, reply_to=reply_to)
+        reply_to = membership.address if request_reply and first == 0 else ""
+        digest = Digest(sender=membership.name, gossip=chunk, reply_to=reply_to)
         sent.append(Datagram(address=address, message=digest))
     return sent
 
@@ -320,5 +329,5 @@
     def weight(update: MemberUpdate) -> bytes:
         return hashlib.blake2b(f"{update.name}|{upstream}".encode(), digest_size=8).digest()
 
-    found = sorted(alive(membership, membership.failure_domain), key=weight)
-    return [update.name for update in found[:count]]
+    ranked = sorted(alive(membership, membership.failure_domain), key=weight)
+    return [update.name for update in ranked[:count]]
--- a/src/ledgeladder/coordination/membership/gossip.py
+++ b/src/ledgeladder/coordination/membership/gossip.py
@@ -43,14 +43,14 @@
         _refute(membership, update)
         return
     view = membership.members.get(update.name)
-    if view is not None and not _wins(update, view.update):
+    if view is not None and not _supersedes(update, view.update):
         return
     membership.members[update.name] = MemberView(update=update, since=now)
     membership.pending_members[update.name] = transmissions(membership)
 
 
-def _wins(update: MemberUpdate, standing: MemberUpdate) -> bool:
-    return (update.incarnation, update.status) > (standing.incarnation, standing.status)
+def _supersedes(update: MemberUpdate, current: MemberUpdate) -> bool:
+    return (update.incarnation, update.status) > (current.incarnation, current.status)
 
 
 def _refute(membership: Membership, update: MemberUpdate) -> None:
@@ -65,14 +65,14 @@
 
 def merge_report(membership: Membership, report: UpstreamReport) -> None:
     """Take over a newer report and pass it on."""
-    standing = membership.reports.get(report.name)
-    if standing is not None and standing.version >= report.version:
+    current = membership.reports.get(report.name)
+    if current is not None and current.version >= report.version:
         return
     membership.reports[report.name] = report
     membership.pending_reports[report.name] = transmissions(membership)
 
 
-def take_gossip(membership: Membership) -> Gossip:
+def pop_gossip(membership: Membership) -> Gossip:
     """Choose what to pass on with a datagram, the least often sent first."""
     members: list[MemberUpdate] = []
     for name in _choose(membership.pending_members, MEMBERS_PER_DATAGRAM):
@@ -97,7 +97,7 @@
     return names
 
 
-def everything(membership: Membership) -> Gossip:
+def full_state(membership: Membership) -> Gossip:
     """Return all beliefs."""
     members = [own_update(membership)]
     members.extend(view.update for view in membership.members.values())
@@ -111,8 +111,8 @@
     """
     own = own_update(membership)
     updates = [own, *(view.update for view in membership.members.values())]
-    claims = sorted((update.name, update.incarnation, int(update.status)) for update in updates)
-    states = sorted(
-        (report.name, report.live, report.leaving) for report in membership.reports.values()
+    boxes = sorted((update.name, update.incarnation, int(update.status)) for update in updates)
+    upstreams = sorted(
+        (report.name, report.live, report.draining) for report in membership.reports.values()
     )
-    return hashlib.blake2b(msgspec.msgpack.encode((claims, states)), digest_size=8).digest()
+    return hashlib.blake2b(msgspec.msgpack.encode((boxes, upstreams)), digest_size=8).digest()
--- a/src/ledgeladder/coordination/membership/messages.py
+++ b/src/ledgeladder/coordination/membership/messages.py
@@ -37,7 +37,7 @@
     """Time of the observation in milliseconds since 1970; the newer report wins."""
 
     live: bool
-    leaving: bool
+    draining: bool
     running: int
     """Requests that it said to be working on."""
 
@@ -53,7 +53,7 @@
     """Ask for a sign of life."""
 
     sender: str
-    number: int
+    sequence_number: int
     gossip: Gossip
     on_behalf_of: str = ""
     """Address of the box that asked for this indirect probe; the answer goes there."""
@@ -63,7 +63,7 @@
     """A sign of life."""
 
     sender: str
-    number: int
+    sequence_number: int
     gossip: Gossip
 
 
@@ -71,7 +71,7 @@
     """Ask another box to probe a third one."""
 
     sender: str
-    number: int
+    sequence_number: int
     reply_to: str
     target: str
     """Address of the box to probe."""
--- a/src/ledgeladder/coordination/membership/state.py
+++ b/src/ledgeladder/coordination/membership/state.py
@@ -10,19 +10,19 @@
 class MembershipTiming(msgspec.Struct, frozen=True, kw_only=True):
     """Intervals, in seconds."""
 
-    probe: float = 0.5
+    probe_interval: float = 0.5
     """Time between probes of one box each."""
 
-    answer: float = 0.15
+    ack_timeout: float = 0.15
     """How long a direct probe may take before others are asked to probe."""
 
-    suspicion: float = 1.5
+    suspicion_timeout: float = 1.5
     """How long a suspected box may take to refute it."""
 
-    summary: float = 1.0
+    summary_interval: float = 1.0
     """Time between comparisons with other failure domains."""
 
-    forget: float = 120.0
+    dead_retention: float = 120.0
     """How long a dead box is remembered."""
 
 
@@ -42,7 +42,7 @@
     target: str
     """Name of the box."""
 
-    number: int
+    sequence_number: int
     """Number of the probe."""
 
     sent_at: float
@@ -85,13 +85,13 @@
     pending_reports: dict[str, int] = msgspec.field(default_factory=dict)
     """How often a report must still be passed on, by upstream."""
 
-    order: list[str] = msgspec.field(default_factory=list)
+    probe_order: list[str] = msgspec.field(default_factory=list)
     """Boxes still to be probed in this round."""
 
     probe: Probe | None = None
     """The unanswered probe."""
 
-    number: int = 0
+    sequence_number: int = 0
     """Number of the last probe."""
 
     probe_due: float = 0.0
--- a/src/ledgeladder/daemons/entry/membership_driver.py
+++ b/src/ledgeladder/daemons/entry/membership_driver.py
@@ -67,7 +67,7 @@
     host, port = split_address(context.settings.entry.link_address)
     async with await anyio.create_udp_socket(local_host=host, local_port=port) as socket:
         send = _make_send(context, socket)
-        await send(protocol.start(membership))
+        await send(protocol.join(membership))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(_receive, context, membership, socket, send)
             while True:
--- a/src/ledgeladder/daemons/entry/watching.py
+++ b/src/ledgeladder/daemons/entry/watching.py
@@ -85,7 +85,7 @@
         name=name,
         version=wall_clock_ms(),
         live=load is not None,
-        leaving=load is not None and load.leaving,
+        draining=load is not None and load.leaving,
         running=load.running if load is not None else 0,
     )
     if should_report(membership.reports.get(name), report):
@@ -103,7 +103,7 @@
     Returns:
         True if the state or the load changed, or if the last report is due for renewal.
     """
-    if last is None or (last.live, last.leaving) != (report.live, report.leaving):
+    if last is None or (last.live, last.draining) != (report.live, report.draining):
         return True
     if report.version - last.version >= REPORT_RENEWAL_SECONDS * 1000:
         return True
@@ -115,7 +115,7 @@
     for name, report in membership.reports.items():
         view = context.upstreams.views.get(name)
         if view is not None:
-            apply_report(view, live=report.live, draining=report.leaving, running=report.running)
+            apply_report(view, live=report.live, draining=report.draining, running=report.running)
 
 
 async def probe_suspects(context: EntryContext) -> None:
--- a/standins/membership_network.py
+++ b/standins/membership_network.py
@@ -41,7 +41,7 @@
                 incarnation=1,
             )
             self.boxes[name] = box
-            self.send(name, swim.start(box))
+            self.send(name, swim.join(box))
 
     def send(self, source: str, datagrams: list[swim.Datagram]) -> None:
         for datagram in datagrams:
--- a/tests/coordination/membership/test_schedules.py
+++ b/tests/coordination/membership/test_schedules.py
@@ -73,7 +73,7 @@
     network.run(5)
     for version, live in ((1, True), (2, False)):
         report = swim.UpstreamReport(
-            name="engine", version=version, live=live, leaving=False, running=3
+            name="engine", version=version, live=live, draining=False, running=3
         )
         swim.merge_report(network.boxes["d1-b0"], report)
         network.run(8)
