--- a/src/ledgeladder/coordination/membership/__init__.py
+++ b/src/ledgeladder/coordination/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership between boxes as a sans-IO core."""
+"""Sans-IO core of the SWIM membership protocol between boxes."""
 
 from __future__ import annotations
 
--- a/src/ledgeladder/coordination/membership/core.py
+++ b/src/ledgeladder/coordination/membership/core.py
@@ -1,10 +1,10 @@
-"""The membership protocol as a sans-IO core.
+"""Sans-IO core of the membership protocol.
 
-Inside a failure domain boxes probe each other one at a time, directly and then through others, and
-a box that answers nobody is suspected before it is called dead ("SWIM: Scalable Weakly-consistent
+Within a failure domain, boxes probe each other in turn, first directly, then through other boxes. A
+box that does not answer is suspected before it is declared dead ("SWIM: Scalable Weakly-consistent
 Infection-style Process Group Membership Protocol", Das, Gupta and Motivala, 2002). Between failure
-domains one representative of each compares fingerprints with a random box of another, so the cost
-of a box does not grow with the number of boxes elsewhere.
+domains, one representative of each compares fingerprints with a random box of each other domain.
+The cost for a box therefore does not grow with the number of boxes in other domains.
 """
 
 from __future__ import annotations
@@ -30,28 +30,29 @@
 from .state import Membership, Probe, alive, own_update
 
 INDIRECT_PROBES: Final = 2
-"""Boxes that are asked to probe in place of the own one."""
+"""Maximum number of boxes that are asked for an indirect probe."""
 
 SEEDS_PER_JOIN: Final = 4
-"""Seeds that are asked at a time."""
+"""Maximum number of seeds contacted per call of `join`."""
 
 PROBE_TIMEOUT_SHARE: Final = 0.95
-"""Share of the time between probes after which an unanswered one is given up."""
+"""Fraction of the probe interval after which an unanswered probe has failed."""
 
 EXPIRY_CHECK_SECONDS: Final = 0.25
-"""Time between two looks at all boxes for suspicions that have run out."""
+"""Time between checks for expired suspicions and dead boxes."""
 
 DIGEST_CHUNK_SIZE: Final = 16
-"""Claims or reports in one datagram of a full digest."""
+"""Maximum number of updates, and of reports, per datagram of a digest."""
 
 
 def join(membership: Membership) -> list[Datagram]:
-    """Ask a few seeds for their beliefs; called again, it asks the next ones.
+    """Request the membership state of a few seeds; each call selects the next ones.
 
-    Asking all of them would cost every box a digest of every other box when many start together.
+    Asking all seeds would make every box send a digest to every other box when many boxes start
+    together.
 
     Args:
-        membership: The beliefs.
+        membership: Membership state of this box.
 
     Returns:
         Datagrams to send.
@@ -66,7 +67,7 @@
 
 
 def leave(membership: Membership) -> list[Datagram]:
-    """Tell some boxes of the own failure domain that this box leaves."""
+    """Announce to the boxes of the own failure domain that this box leaves."""
     membership.left = True
     gossip = Gossip(members=(own_update(membership),))
     digest = Digest(sender=membership.name, gossip=gossip)
@@ -75,12 +76,12 @@
 
 
 def tick(membership: Membership, now: float, rng: random.Random) -> list[Datagram]:
-    """Let time pass: probes, suspicions, comparisons.
+    """Process elapsed time: send probes, expire suspicions, compare summaries.
 
     Args:
-        membership: The beliefs.
+        membership: Membership state of this box.
         now: Monotonic time in seconds.
-        rng: Source of choices.
+        rng: Random source for the choice of boxes.
 
     Returns:
         Datagrams to send.
@@ -101,7 +102,7 @@
 
 
 def next_due(membership: Membership) -> float:
-    """Return when `tick` has to be called next at the latest, on the monotonic clock."""
+    """Return the latest monotonic time at which `tick` must be called next."""
     due = min(membership.probe_due, membership.summary_due, membership.expiry_due)
     probe = membership.probe
     if probe is None:
@@ -112,11 +113,11 @@
 
 
 def receive(membership: Membership, message: MembershipMessage, now: float) -> list[Datagram]:
-    """Take in one datagram.
+    """Handle one datagram.
 
     Args:
-        membership: The beliefs.
-        message: Its content.
+        membership: Membership state of this box.
+        message: Content of the datagram.
         now: Monotonic time in seconds.
 
     Returns:
@@ -194,7 +195,7 @@
     membership.probe = Probe(
         target=target.name, sequence_number=membership.sequence_number, sent_at=now
     )
-    # The claim about the target rides along, so that a suspected box hears of it and refutes.
+    # Include the update about the target, so a suspected box can refute it.
     gossip = pop_gossip(membership)
     gossip = Gossip(
         members=(*gossip.members, target, own_update(membership)), reports=gossip.reports
@@ -260,7 +261,7 @@
 
 
 def is_representative(membership: Membership) -> bool:
-    """Tell whether this box speaks for its failure domain."""
+    """Return whether this box represents its failure domain to the others."""
     neighbours = alive(membership, membership.failure_domain)
     return bool(neighbours) and neighbours[0].name == membership.name
 
@@ -283,7 +284,7 @@
 
 
 def _contact_missing_seeds(membership: Membership, rng: random.Random) -> list[Datagram]:
-    """Ask one seed that is not among the live boxes, so that healed cuts are noticed."""
+    """Request the state of one seed that is not alive here, to rejoin after a partition heals."""
     known = {update.address for update in alive(membership)}
     missing = [seed for seed in membership.seeds if seed not in known]
     if not missing:
@@ -297,7 +298,7 @@
 
 
 def _digest_chunks(membership: Membership, address: str, *, request_reply: bool) -> list[Datagram]:
-    """Send all beliefs in datagrams of bounded size."""
+    """Send the full membership state in datagrams of bounded size."""
     gossip = full_state(membership)
     count = max(len(gossip.members), len(gossip.reports))
     sent: list[Datagram] = []
@@ -313,14 +314,14 @@
 
 
 def watchers(membership: Membership, upstream: str, count: int) -> list[str]:
-    """Choose which boxes of the own failure domain watch an upstream.
+    """Choose the boxes of the own failure domain that watch an upstream.
 
-    Rendezvous hashing: every box reaches the same choice, and a lost box moves only its own share.
+    Rendezvous hashing gives all boxes the same result; the loss of a box only moves its upstreams.
 
     Args:
-        membership: The beliefs.
+        membership: Membership state of this box.
         upstream: Name of the upstream.
-        count: Boxes that watch it.
+        count: Number of watching boxes.
 
     Returns:
         Names of the boxes.
--- a/src/ledgeladder/coordination/membership/gossip.py
+++ b/src/ledgeladder/coordination/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Merging claims and reports, and choosing which of them to pass on."""
+"""Merges updates and reports, and selects those to forward."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 REPORTS_PER_DATAGRAM: Final = 12
 
 TRANSMISSIONS_FACTOR: Final = 3.0
-"""A claim is passed on this many times the logarithm of the number of boxes."""
+"""Factor of the binary logarithm of the number of boxes in `transmissions`."""
 
 
 def transmissions(membership: Membership) -> int:
-    """Return how often a new claim is passed on."""
+    """Return how often a new update or report is forwarded."""
     return math.ceil(TRANSMISSIONS_FACTOR * math.log2(len(membership.members) + 2))
 
 
 def merge(membership: Membership, gossip: Gossip, now: float) -> None:
-    """Take over all claims and reports that win over what is believed.
+    """Merge all updates and reports that supersede the current ones.
 
     Args:
-        membership: The beliefs.
-        gossip: What another box believes.
+        membership: Membership state of this box.
+        gossip: Updates and reports from another box.
         now: Monotonic time in seconds.
     """
     for update in gossip.members:
@@ -38,7 +38,7 @@
 
 
 def merge_member(membership: Membership, update: MemberUpdate, now: float) -> None:
-    """Take over one claim if it wins, and pass it on."""
+    """Merge one update if it supersedes the current one, and schedule it for forwarding."""
     if update.name == membership.name:
         _refute(membership, update)
         return
@@ -54,7 +54,7 @@
 
 
 def _refute(membership: Membership, update: MemberUpdate) -> None:
-    """Answer a claim that the own box is suspect or dead by a higher incarnation."""
+    """Refute an update that says this box is suspect, dead or left, by a higher incarnation."""
     if update.incarnation < membership.incarnation or membership.left:
         return
     if update.status is MemberStatus.ALIVE and update.incarnation == membership.incarnation:
@@ -64,7 +64,7 @@
 
 
 def merge_report(membership: Membership, report: UpstreamReport) -> None:
-    """Take over a newer report and pass it on."""
+    """Merge a report if it is newer, and schedule it for forwarding."""
     current = membership.reports.get(report.name)
     if current is not None and current.version >= report.version:
         return
@@ -73,7 +73,7 @@
 
 
 def pop_gossip(membership: Membership) -> Gossip:
-    """Choose what to pass on with a datagram, the least often sent first."""
+    """Select updates and reports to forward with a datagram, the least often sent first."""
     members: list[MemberUpdate] = []
     for name in _choose(membership.pending_members, MEMBERS_PER_DATAGRAM):
         if name == membership.name:
@@ -98,16 +98,16 @@
 
 
 def full_state(membership: Membership) -> Gossip:
-    """Return all beliefs."""
+    """Return all updates and reports."""
     members = [own_update(membership)]
     members.extend(view.update for view in membership.members.values())
     return Gossip(members=tuple(members), reports=tuple(membership.reports.values()))
 
 
 def fingerprint(membership: Membership) -> bytes:
-    """Hash the beliefs about boxes and about which upstreams are live or leaving.
+    """Return a hash of the state of all boxes and of which upstreams are live or draining.
 
-    Loads are left out: they change all the time and matter most in their own failure domain.
+    Loads are excluded: they change constantly and matter mostly within their own failure domain.
     """
     own = own_update(membership)
     updates = [own, *(view.update for view in membership.members.values())]
--- a/src/ledgeladder/coordination/membership/messages.py
+++ b/src/ledgeladder/coordination/membership/messages.py
@@ -8,29 +8,29 @@
 
 
 class MemberStatus(IntEnum):
-    """What a box is believed to be; of two claims of one incarnation the higher wins."""
+    """Status of a box; of two updates with the same incarnation the higher status wins."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
     LEFT = 3
-    """Said by the box itself before a planned stop."""
+    """Announced by the box itself before a planned stop."""
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A claim about one box."""
+    """Status of one box at one incarnation."""
 
     name: str
     failure_domain: str
     address: str
     incarnation: int
-    """Raised by the box itself to refute a suspicion."""
+    """Incremented by the box itself to refute a suspicion."""
 
     status: MemberStatus
 
 
 class UpstreamReport(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What a watching box saw of one upstream."""
+    """Observation of one upstream by a watching box."""
 
     name: str
     version: int
@@ -39,28 +39,28 @@
     live: bool
     draining: bool
     running: int
-    """Requests that it said to be working on."""
+    """Number of running requests that the upstream reported."""
 
 
 class Gossip(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Claims and reports that ride on other datagrams."""
+    """Updates and reports, piggybacked on the other messages."""
 
     members: tuple[MemberUpdate, ...] = ()
     reports: tuple[UpstreamReport, ...] = ()
 
 
 class Ping(msgspec.Struct, frozen=True, kw_only=True, tag="ping", array_like=True):
-    """Ask for a sign of life."""
+    """A direct or indirect probe, answered with an `Ack`."""
 
     sender: str
     sequence_number: int
     gossip: Gossip
     on_behalf_of: str = ""
-    """Address of the box that asked for this indirect probe; the answer goes there."""
+    """Address of the box that requested this indirect probe and receives the `Ack`."""
 
 
 class Ack(msgspec.Struct, frozen=True, kw_only=True, tag="ack", array_like=True):
-    """A sign of life."""
+    """Answer to a probe."""
 
     sender: str
     sequence_number: int
@@ -68,7 +68,7 @@
 
 
 class ProbeRequest(msgspec.Struct, frozen=True, kw_only=True, tag="probe", array_like=True):
-    """Ask another box to probe a third one."""
+    """Request to probe a third box (ping-req in the SWIM paper)."""
 
     sender: str
     sequence_number: int
@@ -78,7 +78,7 @@
 
 
 class Summary(msgspec.Struct, frozen=True, kw_only=True, tag="summary", array_like=True):
-    """Fingerprint of all that a box believes, for anti-entropy between failure domains."""
+    """Fingerprint of a membership state, for anti-entropy between failure domains."""
 
     sender: str
     reply_to: str
@@ -86,19 +86,19 @@
 
 
 class Digest(msgspec.Struct, frozen=True, kw_only=True, tag="digest", array_like=True):
-    """Everything that a box believes, or a part of it."""
+    """The membership state of a box, or a part of it."""
 
     sender: str
     gossip: Gossip
     reply_to: str = ""
-    """Set if the sender wants the receiver's beliefs in return."""
+    """Address for the receiver's membership state; empty if not requested."""
 
 
 MembershipMessage = Ping | Ack | ProbeRequest | Summary | Digest
 
 
 class Datagram(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A message with the address that it goes to."""
+    """A message with its destination address."""
 
     address: str
     message: MembershipMessage
--- a/src/ledgeladder/coordination/membership/state.py
+++ b/src/ledgeladder/coordination/membership/state.py
@@ -11,49 +11,49 @@
     """Intervals, in seconds."""
 
     probe_interval: float = 0.5
-    """Time between probes of one box each."""
+    """Time between probes, each of one box (protocol period in the SWIM paper)."""
 
     ack_timeout: float = 0.15
-    """How long a direct probe may take before others are asked to probe."""
+    """Time without an answer to a direct probe before indirect probes are requested."""
 
     suspicion_timeout: float = 1.5
-    """How long a suspected box may take to refute it."""
+    """Time within which a suspected box must refute the suspicion."""
 
     summary_interval: float = 1.0
-    """Time between comparisons with other failure domains."""
+    """Mean time between comparisons with other failure domains."""
 
     dead_retention: float = 120.0
-    """How long a dead box is remembered."""
+    """Time after which a box that is dead or has left is forgotten."""
 
 
 class MemberView(msgspec.Struct, kw_only=True):
-    """What is believed of one box."""
+    """State of one other box."""
 
     update: MemberUpdate
-    """The winning claim."""
+    """The update in force."""
 
     since: float
-    """When it was taken over, on the monotonic clock."""
+    """When it was merged, on the monotonic clock."""
 
 
 class Probe(msgspec.Struct, kw_only=True):
-    """A probe that has not been answered."""
+    """An unanswered probe."""
 
     target: str
-    """Name of the box."""
+    """Name of the probed box."""
 
     sequence_number: int
-    """Number of the probe."""
+    """Sequence number of the probe."""
 
     sent_at: float
-    """When it was sent."""
+    """When it was sent, on the monotonic clock."""
 
     indirect: bool = False
-    """True once others were asked."""
+    """True once indirect probes were requested."""
 
 
 class Membership(msgspec.Struct, kw_only=True):
-    """Beliefs of one box about all boxes and upstreams."""
+    """Membership state of one box: all boxes and upstreams that it knows."""
 
     name: str
     """Own name."""
@@ -65,50 +65,50 @@
     """Own address for datagrams."""
 
     seeds: tuple[str, ...]
-    """Addresses of boxes to ask at the start."""
+    """Addresses of the boxes to join through."""
 
     timing: MembershipTiming = msgspec.field(default_factory=MembershipTiming)
-    """Intervals."""
+    """Protocol intervals."""
 
     incarnation: int = 0
-    """Own incarnation; starts at the wall clock so that a restart wins over old claims."""
+    """Own incarnation; initially the wall clock time, so a restart supersedes old updates."""
 
     members: dict[str, MemberView] = msgspec.field(default_factory=dict)
-    """Beliefs by name, without the own box."""
+    """Other boxes by name."""
 
     reports: dict[str, UpstreamReport] = msgspec.field(default_factory=dict)
     """Newest report of each upstream."""
 
     pending_members: dict[str, int] = msgspec.field(default_factory=dict)
-    """How often a claim must still be passed on, by name."""
+    """Remaining transmissions of each update, by name of the box."""
 
     pending_reports: dict[str, int] = msgspec.field(default_factory=dict)
-    """How often a report must still be passed on, by upstream."""
+    """Remaining transmissions of each report, by upstream."""
 
     probe_order: list[str] = msgspec.field(default_factory=list)
-    """Boxes still to be probed in this round."""
+    """Boxes still to probe in this round, last one first."""
 
     probe: Probe | None = None
     """The unanswered probe."""
 
     sequence_number: int = 0
-    """Number of the last probe."""
+    """Sequence number of the last probe or join."""
 
     probe_due: float = 0.0
-    """When to probe next."""
+    """When to send the next probe."""
 
     expiry_due: float = 0.0
-    """When to look for suspicions that have run out next."""
+    """When to check next for expired suspicions."""
 
     summary_due: float = 0.0
-    """When to compare with another failure domain next."""
+    """When to compare next with the other failure domains."""
 
     left: bool = False
-    """True once the own box has said that it leaves."""
+    """True once this box has announced that it leaves."""
 
 
 def own_update(membership: Membership) -> MemberUpdate:
-    """Return the claim of a box about itself."""
+    """Return the update of a box about itself."""
     return MemberUpdate(
         name=membership.name,
         failure_domain=membership.failure_domain,
@@ -119,14 +119,14 @@
 
 
 def alive(membership: Membership, failure_domain: str | None = None) -> list[MemberUpdate]:
-    """Return the boxes that take part, the own one included.
+    """Return the boxes that are alive or suspected, including the own one unless it has left.
 
     Args:
-        membership: The beliefs.
-        failure_domain: Only boxes of this one, or None for all.
+        membership: Membership state of the box.
+        failure_domain: Domain to select, or None for all.
 
     Returns:
-        Claims, sorted by name. Suspected boxes still count.
+        Updates, sorted by name.
     """
     own = [] if membership.left else [own_update(membership)]
     others = [
--- a/tests/coordination/membership/test_schedules.py
+++ b/tests/coordination/membership/test_schedules.py
@@ -1,4 +1,4 @@
-"""Membership under lost, late and doubled datagrams, frozen boxes and cuts, with seeds."""
+"""Membership under lost, delayed and duplicated datagrams, frozen boxes and partitions."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_everybody_is_seen_in_spite_of_loss(seed: int) -> None:
+def test_all_boxes_are_alive_despite_datagram_loss(seed: int) -> None:
     network = Network(seed=seed, loss=0.1)
     network.run(8)
-    # With every tenth datagram lost a live box may be called dead, and then refutes.
+    # Datagram loss may cause a live box to be declared dead until it refutes that.
     for _ in range(7):
         if all(network.seen_by(name) == network.up for name in network.boxes):
             return
         network.run(1)
-    raise AssertionError(f"not everybody is seen after {network.now} s")
+    raise AssertionError(f"not all boxes are alive after {network.now} s")
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_dead_box_is_noticed_everywhere(seed: int) -> None:
+def test_all_boxes_detect_a_dead_box(seed: int) -> None:
     network = Network(seed=seed, loss=0.02)
     network.run(8)
     network.down.add("d1-b1")
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_frozen_box_returns(seed: int) -> None:
+def test_frozen_box_rejoins(seed: int) -> None:
     network = Network(seed=seed)
     network.run(5)
     network.down.add("d0-b0")
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_cut_domain_is_whole_for_itself_and_heals(seed: int) -> None:
+def test_partitioned_domain_keeps_its_own_boxes_and_rejoins(seed: int) -> None:
     network = Network(seed=seed)
     network.run(5)
     network.cut.add("d2")
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_planned_leave_is_known_without_suspicion(seed: int) -> None:
+def test_planned_leave_reaches_all_boxes_as_left(seed: int) -> None:
     network = Network(seed=seed)
     network.run(5)
     box = network.boxes["d0-b1"]
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_newest_report_reaches_all(seed: int) -> None:
+def test_newest_report_reaches_all_boxes(seed: int) -> None:
     network = Network(seed=seed, loss=0.05)
     network.run(5)
     for version, live in ((1, True), (2, False)):
@@ -77,11 +77,11 @@
         )
         swim.merge_report(network.boxes["d1-b0"], report)
         network.run(8)
-        held = [network.boxes[name].reports["engine"] for name in network.boxes]
-        assert held == [report] * len(held)
+        stored = [network.boxes[name].reports["engine"] for name in network.boxes]
+        assert stored == [report] * len(stored)
 
 
-def test_catches_missing_refutation(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detects_missing_refutation(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(gossip, "_refute", lambda membership, update: None)
     network = Network(seed=1)
     network.run(5)
@@ -92,7 +92,7 @@
     assert any(network.seen_by(name) != set(network.boxes) for name in network.boxes)
 
 
-def test_watchers_agree_and_move_little() -> None:
+def test_boxes_choose_the_same_watchers_and_keep_them_after_a_loss() -> None:
     network = Network(seed=3, domains=1, per_domain=6)
     network.run(6)
     boxes = list(network.boxes.values())
