--- a/src/ledgeladder/daemons/control/node.py
+++ b/src/ledgeladder/daemons/control/node.py
@@ -189,8 +189,8 @@
         StorageError: If the folder is damaged or the disk fails.
     """
     journal, recovered = open_journal(folder)
-    if recovered.cut_bytes:
-        logger.warning("torn tail removed", extra={"bytes": recovered.cut_bytes})
+    if recovered.torn_bytes:
+        logger.warning("torn tail removed", extra={"bytes": recovered.torn_bytes})
     snapshot = recovered.snapshot
     replica = raft.restore_replica(
         member_id=identity.member_id,
--- a/src/ledgeladder/storage/__init__.py
+++ b/src/ledgeladder/storage/__init__.py
@@ -11,13 +11,13 @@
     member_id,
     read_identity,
 )
-from .journal import Journal, Recovered, load_snapshot, open_journal
+from .journal import Journal, RecoveredState, load_snapshot, open_journal
 
 __all__ = [
     "INITIAL_INCARNATION",
     "Identity",
     "Journal",
-    "Recovered",
+    "RecoveredState",
     "StorageError",
     "box_of",
     "create_identity",
--- a/src/ledgeladder/storage/files.py
+++ b/src/ledgeladder/storage/files.py
@@ -21,7 +21,7 @@
 
 
 @contextmanager
-def disk_faults_named(path: Path) -> Iterator[None]:
+def translate_disk_errors(path: Path) -> Iterator[None]:
     """Turn an `OSError` inside the block into a numbered `StorageError`.
 
     A sync that failed is never tried again: the kernel may have dropped the dirty pages and would
@@ -55,18 +55,18 @@
     return FileIO(path, mode.replace("b", ""))
 
 
-def write_whole(file: FileIO, content: bytes) -> None:
+def write_all(file: FileIO, content: bytes) -> None:
     """Write all bytes to an unbuffered file.
 
     Raises:
         OSError: If the disk takes only a part of them.
     """
-    rest = memoryview(content)
-    while rest:
-        written = file.write(rest)
+    remaining = memoryview(content)
+    while remaining:
+        written = file.write(remaining)
         if not written:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        rest = rest[written:]
+        remaining = remaining[written:]
 
 
 def sync_folder(folder: Path) -> None:
@@ -90,10 +90,10 @@
         StorageError: If the disk is full or does not sync.
     """
     temporary = path.with_suffix(path.suffix + ".tmp")
-    with disk_faults_named(path):
+    with translate_disk_errors(path):
         try:
             with FileIO(temporary, "w") as file:
-                write_whole(file, content)
+                write_all(file, content)
                 sync(file.fileno())
         except OSError:
             # What it takes may be the room that is lacking.
--- a/src/ledgeladder/storage/journal.py
+++ b/src/ledgeladder/storage/journal.py
@@ -12,7 +12,7 @@
 from ..coordination.raft import HardState, LogEntry, Snapshot
 from ..model import ResultCode
 from .errors import StorageError, storage_error
-from .files import disk_faults_named, open_unbuffered, replace_file, write_whole
+from .files import open_unbuffered, replace_file, translate_disk_errors, write_all
 from .identity import FORMAT_VERSION
 from .records import Tail, frame_record, scan_records
 
@@ -49,7 +49,7 @@
 _SNAPSHOT_DECODER: Final = msgspec.msgpack.Decoder(Snapshot)
 
 
-class Recovered(msgspec.Struct, frozen=True, kw_only=True):
+class RecoveredState(msgspec.Struct, frozen=True, kw_only=True):
     """What a data folder held when it was opened."""
 
     hard_state: HardState
@@ -61,7 +61,7 @@
     entries: list[LogEntry]
     """Entries after the snapshot."""
 
-    cut_bytes: int
+    torn_bytes: int
     """Length of a torn tail that was removed."""
 
 
@@ -80,7 +80,7 @@
     sync: Sync
     """Makes the data of an open file last."""
 
-    tail_is_good: bool = True
+    tail_is_clean: bool = True
     """False if bytes of a write that failed may stand behind `size`."""
 
     def write(self, hard_state: HardState | None, entries: Sequence[LogEntry]) -> None:
@@ -102,12 +102,12 @@
             return
         # One frame a sync: a frame that is not whole can then only be the last one.
         content = frame_record(msgspec.msgpack.encode(records))
-        with disk_faults_named(self.folder / JOURNAL_FILE):
-            self._cut_tail()
-            self.tail_is_good = False
-            write_whole(self.file, content)
+        with translate_disk_errors(self.folder / JOURNAL_FILE):
+            self._truncate_tail()
+            self.tail_is_clean = False
+            write_all(self.file, content)
             self.sync(self.file.fileno())
-        self.tail_is_good = True
+        self.tail_is_clean = True
         self.size += len(content)
 
     def remove_torn_tail(self) -> None:
@@ -116,13 +116,13 @@
         Raises:
             OSError: If the disk refuses.
         """
-        self._cut_tail()
+        self._truncate_tail()
         self.sync(self.file.fileno())
-        self.tail_is_good = True
+        self.tail_is_clean = True
 
-    def _cut_tail(self) -> None:
+    def _truncate_tail(self) -> None:
         """Remove what a write that failed has left, so that the next frame follows a whole one."""
-        if self.tail_is_good:
+        if self.tail_is_clean:
             return
         self.file.truncate(self.size)
         self.file.seek(self.size)
@@ -152,7 +152,7 @@
         self.file.close()
         self.file = open_unbuffered(path, "ab")
         self.size = len(content)
-        self.tail_is_good = True
+        self.tail_is_clean = True
 
     def close(self) -> None:
         """Close the journal."""
@@ -178,14 +178,14 @@
     _check_prefix(path, content)
     scan = scan_records(content, len(PREFIX))
     if scan.tail is not Tail.CLEAN or len(scan.payloads) != 1:
-        raise _corrupt(path, scan.good_length)
+        raise _corruption_error(path, scan.valid_length)
     try:
         return _SNAPSHOT_DECODER.decode(scan.payloads[0])
     except msgspec.DecodeError as error:
-        raise _corrupt(path, len(PREFIX)) from error
+        raise _corruption_error(path, len(PREFIX)) from error
 
 
-def open_journal(folder: Path, *, sync: Sync = os.fsync) -> tuple[Journal, Recovered]:
+def open_journal(folder: Path, *, sync: Sync = os.fsync) -> tuple[Journal, RecoveredState]:
     """Open a data folder and read what it holds.
 
     A full disk hinders nobody from reading: a torn tail is then removed with the next write.
@@ -209,29 +209,31 @@
     _check_prefix(path, content)
     scan = scan_records(content, len(PREFIX))
     if scan.tail is Tail.CORRUPT:
-        raise _corrupt(path, scan.good_length)
+        raise _corruption_error(path, scan.valid_length)
     hard_state, entries = _replay(path, scan.payloads, snapshot.index if snapshot else 0)
-    cut = len(content) - scan.good_length
+    torn_bytes = len(content) - scan.valid_length
     file = open_unbuffered(path, "r+b")
     journal = Journal(
-        folder=folder, file=file, size=scan.good_length, sync=sync, tail_is_good=not cut
+        folder=folder, file=file, size=scan.valid_length, sync=sync, tail_is_clean=not torn_bytes
     )
-    file.seek(scan.good_length)
+    file.seek(scan.valid_length)
     try:
-        with disk_faults_named(path):
+        with translate_disk_errors(path):
             journal.remove_torn_tail()
     except StorageError as error:
         if error.problem.code is not ResultCode.DISK_FULL:
             raise
         logger.warning("disk is full", extra={"detail": error.problem.detail})
-    recovered = Recovered(hard_state=hard_state, snapshot=snapshot, entries=entries, cut_bytes=cut)
+    recovered = RecoveredState(
+        hard_state=hard_state, snapshot=snapshot, entries=entries, torn_bytes=torn_bytes
+    )
     return journal, recovered
 
 
 def _replay(path: Path, payloads: list[bytes], base: int) -> tuple[HardState, list[LogEntry]]:
     hard_state = HardState()
     entries: list[LogEntry] = []
-    for record in _records(path, payloads):
+    for record in _decode_records(path, payloads):
         if isinstance(record, StateRecord):
             hard_state = record.hard_state
             continue
@@ -247,12 +249,12 @@
     return hard_state, entries
 
 
-def _records(path: Path, payloads: list[bytes]) -> Iterator[JournalRecord]:
+def _decode_records(path: Path, payloads: list[bytes]) -> Iterator[JournalRecord]:
     for payload in payloads:
         try:
             yield from _BATCH_DECODER.decode(payload)
         except msgspec.DecodeError as error:
-            raise _corrupt(path, 0) from error
+            raise _corruption_error(path, 0) from error
 
 
 def _check_prefix(path: Path, content: bytes) -> None:
@@ -261,10 +263,10 @@
     if content.startswith(MAGIC) and len(content) >= len(PREFIX):
         detail = f"{path}: format {content[3]}, this program reads format {FORMAT_VERSION}"
         raise storage_error(ResultCode.JOURNAL_FORMAT, detail)
-    raise _corrupt(path, 0)
+    raise _corruption_error(path, 0)
 
 
-def _corrupt(path: Path, offset: int) -> Exception:
+def _corruption_error(path: Path, offset: int) -> Exception:
     detail = (
         f"{path}: bad record at offset {offset}; keep the folder for inspection and start the box "
         "with an empty one, so that it rejoins as a learner"
--- a/src/ledgeladder/storage/records.py
+++ b/src/ledgeladder/storage/records.py
@@ -12,7 +12,7 @@
 HEADER: Final = struct.Struct(">II")
 """Length of the payload and its CRC-32."""
 
-RECORD_LIMIT: Final = 256 * 1024 * 1024
+MAX_PAYLOAD_BYTES: Final = 256 * 1024 * 1024
 """Longest payload that is believed, in bytes."""
 
 
@@ -35,7 +35,7 @@
     payloads: list[bytes]
     """Payloads of the good records, in order."""
 
-    good_length: int
+    valid_length: int
     """Offset one past the last good record."""
 
     tail: Tail
@@ -69,21 +69,21 @@
     payloads: list[bytes] = []
     offset = start
     while offset < len(content):
-        rest = len(content) - offset
-        if rest < HEADER.size or not any(content[offset : offset + HEADER.size]):
+        remaining = len(content) - offset
+        if remaining < HEADER.size or not any(content[offset : offset + HEADER.size]):
             zeros = not any(content[offset:])
-            tail = Tail.TORN if rest < HEADER.size or zeros else Tail.CORRUPT
-            return RecordScan(payloads=payloads, good_length=offset, tail=tail)
+            tail = Tail.TORN if remaining < HEADER.size or zeros else Tail.CORRUPT
+            return RecordScan(payloads=payloads, valid_length=offset, tail=tail)
         length, checksum = HEADER.unpack_from(content, offset)
         payload = content[offset + HEADER.size : offset + HEADER.size + length]
-        if length > RECORD_LIMIT:
-            return RecordScan(payloads=payloads, good_length=offset, tail=Tail.CORRUPT)
+        if length > MAX_PAYLOAD_BYTES:
+            return RecordScan(payloads=payloads, valid_length=offset, tail=Tail.CORRUPT)
         if len(payload) < length:
-            return RecordScan(payloads=payloads, good_length=offset, tail=Tail.TORN)
+            return RecordScan(payloads=payloads, valid_length=offset, tail=Tail.TORN)
         if zlib.crc32(payload) != checksum:
             is_last = offset + HEADER.size + length == len(content)
             tail = Tail.TORN if is_last else Tail.CORRUPT
-            return RecordScan(payloads=payloads, good_length=offset, tail=tail)
+            return RecordScan(payloads=payloads, valid_length=offset, tail=tail)
         payloads.append(payload)
         offset += HEADER.size + length
-    return RecordScan(payloads=payloads, good_length=offset, tail=Tail.CLEAN)
+    return RecordScan(payloads=payloads, valid_length=offset, tail=Tail.CLEAN)
--- a/tests/daemons/test_full_disk.py
+++ b/tests/daemons/test_full_disk.py
@@ -28,7 +28,7 @@
         self.full = False
         self.failures = 0
 
-    def write_whole(self, file: object, content: bytes) -> None:
+    def write_all(self, file: object, content: bytes) -> None:
         if self.full:
             self.failures += 1
             file.write(content[: len(content) // 2])  # type: ignore[attr-defined]
@@ -39,7 +39,7 @@
 @pytest.fixture
 def disk(monkeypatch: pytest.MonkeyPatch) -> Disk:
     simulated = Disk()
-    monkeypatch.setattr(journal_module, "write_whole", simulated.write_whole)
+    monkeypatch.setattr(journal_module, "write_all", simulated.write_all)
     return simulated
 
 
@@ -95,7 +95,7 @@
     journal.close()
     _, recovered = open_journal(tmp_path)
     assert recovered.entries == entries
-    assert recovered.cut_bytes == 0
+    assert recovered.torn_bytes == 0
 
 
 def test_folder_can_be_opened_while_the_disk_is_full(tmp_path: Path) -> None:
