--- a/src/ledgeladder/storage/__init__.py
+++ b/src/ledgeladder/storage/__init__.py
@@ -1,4 +1,4 @@
-"""Durable state of a box with a disk: identity, journal, snapshot."""
+"""Durable state of a box: identity, journal, snapshot."""
 
 from __future__ import annotations
 
--- a/src/ledgeladder/storage/errors.py
+++ b/src/ledgeladder/storage/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a data folder."""
+"""Errors of a data folder."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class StorageError(ProblemError):
-    """A fault of the data folder that ends the process."""
+    """A data folder that is damaged, belongs to another box, or cannot be written."""
 
 
 def storage_error(code: ResultCode, detail: str) -> StorageError:
-    """Build a `StorageError` from a code and a sentence."""
+    """Build a `StorageError` from a result code and a detail text."""
     return StorageError(Problem(code=code, detail=detail))
--- a/src/ledgeladder/storage/files.py
+++ b/src/ledgeladder/storage/files.py
@@ -17,18 +17,18 @@
     from collections.abc import Callable
 
     Sync = Callable[[int], None]
-    """Makes the data of an open file last; raises `OSError` if it cannot."""
+    """Syncs an open file descriptor to the disk; raises `OSError` on failure."""
 
 
 @contextmanager
 def translate_disk_errors(path: Path) -> Iterator[None]:
-    """Turn an `OSError` inside the block into a numbered `StorageError`.
+    """Translate an `OSError` inside the block into a `StorageError` with a result code.
 
-    A sync that failed is never tried again: the kernel may have dropped the dirty pages and would
-    report success the second time although the data is lost.
+    A failed sync must not be repeated: the kernel may have dropped the dirty pages, and a second
+    sync would report success although the data is lost.
 
     Args:
-        path: The file concerned, for the message.
+        path: File that the error message names.
 
     Raises:
         StorageError: With code DISK_FULL or SYNC_FAILED.
@@ -43,10 +43,10 @@
 
 
 def open_unbuffered(path: Path, mode: str) -> FileIO:
-    """Open a file without a buffer: one that could not be written would be written again later.
+    """Open a file without a buffer, since a buffer would write again after a failed write.
 
     Args:
-        path: The file.
+        path: File to open.
         mode: `ab` or `r+b`.
 
     Raises:
@@ -59,7 +59,7 @@
     """Write all bytes to an unbuffered file.
 
     Raises:
-        OSError: If the disk takes only a part of them.
+        OSError: If not all bytes can be written.
     """
     remaining = memoryview(content)
     while remaining:
@@ -70,7 +70,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Make renames and new files in a folder last."""
+    """Sync a folder, which makes renames and new files in it durable."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -79,15 +79,15 @@
 
 
 def replace_file(path: Path, content: bytes, *, sync: Sync = os.fsync) -> None:
-    """Replace a file so that after a crash either the old or the new content is there.
+    """Replace a file atomically: after a crash it has either the old or the new content.
 
     Args:
         path: File to replace.
         content: New content.
-        sync: Makes the data of an open file last.
+        sync: Syncs an open file descriptor to the disk.
 
     Raises:
-        StorageError: If the disk is full or does not sync.
+        StorageError: If the disk is full or the sync fails.
     """
     temporary = path.with_suffix(path.suffix + ".tmp")
     with translate_disk_errors(path):
@@ -96,7 +96,7 @@
                 write_all(file, content)
                 sync(file.fileno())
         except OSError:
-            # What it takes may be the room that is lacking.
+            # Free the space that the incomplete file uses on a full disk.
             temporary.unlink(missing_ok=True)
             raise
         os.replace(temporary, path)
--- a/src/ledgeladder/storage/identity.py
+++ b/src/ledgeladder/storage/identity.py
@@ -1,4 +1,4 @@
-"""Who a data folder belongs to: cluster, box, and one incarnation of its disk."""
+"""Identity of a data folder: its cluster, its box, and the incarnation of the disk."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 IDENTITY_FILE: Final = "identity.json"
 FORMAT_VERSION: Final = 2
-"""Version of everything in a data folder. Version 1 framed each journal record by itself."""
+"""Format version of a data folder. Version 1 framed each journal record separately."""
 
 INITIAL_INCARNATION: Final = "initial"
-"""Incarnation of the folders that a cluster is first created with."""
+"""Incarnation of the data folders of a new cluster."""
 
 
 class Identity(msgspec.Struct, frozen=True, kw_only=True):
     """Content of the identity file."""
 
     format: int
-    """Version of the folder's format."""
+    """Format version of the folder."""
 
     cluster: str
     """Name of the cluster."""
@@ -33,21 +33,21 @@
     """Name of the box."""
 
     incarnation: str
-    """Random name of this disk content; a box whose disk was lost gets another."""
+    """Random id of this data folder; a box whose disk was lost gets a new one."""
 
     @property
     def member_id(self) -> str:
-        """The id under which the box takes part in the replicated log."""
+        """Member id of the box in the replicated log."""
         return member_id(self.box, self.incarnation)
 
 
 def member_id(box: str, incarnation: str) -> str:
-    """Combine a box and an incarnation into a member id."""
+    """Return the member id of a box and an incarnation."""
     return f"{box}/{incarnation}"
 
 
 def box_of(member: str) -> str:
-    """Return the box part of a member id."""
+    """Return the box of a member id."""
     return member.partition("/")[0]
 
 
@@ -58,13 +58,13 @@
         folder: Data folder; created if missing.
         cluster: Name of the cluster.
         box: Name of the box.
-        initial: True only when a whole new cluster is created.
+        initial: True only for the first boxes of a new cluster.
 
     Returns:
-        The identity that was written.
+        The new identity.
 
     Raises:
-        StorageError: If the folder already has an identity, or the disk fails.
+        StorageError: If the folder already has an identity, or a write fails.
     """
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / IDENTITY_FILE
@@ -81,14 +81,15 @@
 
     Args:
         folder: Data folder.
-        cluster: Name of the cluster that it must belong to.
-        box: Name of the box that it must belong to.
+        cluster: Expected name of the cluster.
+        box: Expected name of the box.
 
     Returns:
         The identity, or None if the folder has none.
 
     Raises:
-        StorageError: If the folder belongs elsewhere, is newer, or cannot be read.
+        StorageError: If the folder belongs to another cluster or box, has a newer format, or cannot
+            be decoded.
     """
     path = folder / IDENTITY_FILE
     if not path.exists():
--- a/src/ledgeladder/storage/journal.py
+++ b/src/ledgeladder/storage/journal.py
@@ -1,4 +1,4 @@
-"""The journal and the snapshot of one member of the replicated log."""
+"""Journal and snapshot of one member of the replicated log."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 SNAPSHOT_FILE: Final = "snapshot"
 MAGIC: Final = b"LLJ"
 PREFIX: Final = MAGIC + bytes([FORMAT_VERSION])
-"""First bytes of the journal and of the snapshot."""
+"""First bytes of the journal and of the snapshot: file type and format version."""
 
 
 class StateRecord(msgspec.Struct, frozen=True, kw_only=True, tag="state", array_like=True):
@@ -38,7 +38,7 @@
 
 
 class EntryRecord(msgspec.Struct, frozen=True, kw_only=True, tag="entry", array_like=True):
-    """A journal record with a log entry; it replaces one of the same index and all after it."""
+    """A journal record with a log entry, which replaces one of the same index and all after it."""
 
     entry: LogEntry
 
@@ -50,10 +50,10 @@
 
 
 class RecoveredState(msgspec.Struct, frozen=True, kw_only=True):
-    """What a data folder held when it was opened."""
+    """State read from a data folder when it is opened."""
 
     hard_state: HardState
-    """Last term and vote."""
+    """Latest term and vote."""
 
     snapshot: Snapshot | None
     """Newest snapshot."""
@@ -62,37 +62,37 @@
     """Entries after the snapshot."""
 
     torn_bytes: int
-    """Length of a torn tail that was removed."""
+    """Length of the torn tail, in bytes; 0 if there was none."""
 
 
 class Journal(msgspec.Struct, kw_only=True):
-    """An open journal; every write is synced before it returns."""
+    """An open journal; each write is synced before it returns."""
 
     folder: Path
     """Data folder."""
 
     file: FileIO
-    """The journal, positioned at its end."""
+    """The journal file, positioned at its end."""
 
     size: int
-    """Length of the journal in bytes."""
+    """Length of the valid part of the journal, in bytes."""
 
     sync: Sync
-    """Makes the data of an open file last."""
+    """Syncs an open file descriptor to the disk."""
 
     tail_is_clean: bool = True
-    """False if bytes of a write that failed may stand behind `size`."""
+    """False if the file may contain bytes of a failed write after `size`."""
 
     def write(self, hard_state: HardState | None, entries: Sequence[LogEntry]) -> None:
-        """Append records and sync once.
+        """Append records in one synced write.
 
         Args:
             hard_state: New term and vote, if they changed.
-            entries: New entries.
+            entries: New log entries.
 
         Raises:
-            StorageError: If the disk is full or does not sync. After `DISK_FULL` the same may be
-                written again; after anything else the journal must not be used any more.
+            StorageError: If the disk is full or the sync fails. After `DISK_FULL` the write may be
+                retried; after any other code the journal must no longer be used.
         """
         records: list[JournalRecord] = []
         if hard_state is not None:
@@ -100,7 +100,7 @@
         records.extend(EntryRecord(entry=entry) for entry in entries)
         if not records:
             return
-        # One frame a sync: a frame that is not whole can then only be the last one.
+        # With one frame per sync, only the last frame can be incomplete after a crash.
         content = frame_record(msgspec.msgpack.encode(records))
         with translate_disk_errors(self.folder / JOURNAL_FILE):
             self._truncate_tail()
@@ -111,17 +111,17 @@
         self.size += len(content)
 
     def remove_torn_tail(self) -> None:
-        """Remove what is not whole behind the last good record, and sync what stays.
+        """Remove incomplete data after the last valid record, and sync the rest.
 
         Raises:
-            OSError: If the disk refuses.
+            OSError: If truncating or syncing fails.
         """
         self._truncate_tail()
         self.sync(self.file.fileno())
         self.tail_is_clean = True
 
     def _truncate_tail(self) -> None:
-        """Remove what a write that failed has left, so that the next frame follows a whole one."""
+        """Remove the bytes of a failed write, since a frame must follow a complete one."""
         if self.tail_is_clean:
             return
         self.file.truncate(self.size)
@@ -130,17 +130,17 @@
     def save_snapshot(
         self, snapshot: Snapshot, hard_state: HardState, entries: Sequence[LogEntry]
     ) -> None:
-        """Store a snapshot, then start a journal that holds only what follows it.
+        """Store a snapshot, then start a new journal with only the entries after it.
 
-        A crash between the two steps leaves old entries in the journal, which opening skips.
+        A crash between the two steps leaves old entries in the journal; `open_journal` skips them.
 
         Args:
-            snapshot: The snapshot to keep.
+            snapshot: The snapshot to store.
             hard_state: Current term and vote.
             entries: Entries after the snapshot.
 
         Raises:
-            StorageError: If the disk is full or does not sync.
+            StorageError: If the disk is full or a sync fails.
         """
         framed = PREFIX + frame_record(msgspec.msgpack.encode(snapshot))
         replace_file(self.folder / SNAPSHOT_FILE, framed, sync=self.sync)
@@ -160,7 +160,7 @@
 
 
 def load_snapshot(folder: Path) -> Snapshot | None:
-    """Read the newest snapshot.
+    """Read the snapshot of a data folder.
 
     Args:
         folder: Data folder.
@@ -169,7 +169,7 @@
         The snapshot, or None if there is none.
 
     Raises:
-        StorageError: If it is damaged or newer than this program.
+        StorageError: If it is damaged or has another format version.
     """
     path = folder / SNAPSHOT_FILE
     if not path.exists():
@@ -186,20 +186,20 @@
 
 
 def open_journal(folder: Path, *, sync: Sync = os.fsync) -> tuple[Journal, RecoveredState]:
-    """Open a data folder and read what it holds.
+    """Open a data folder and read its content.
 
-    A full disk hinders nobody from reading: a torn tail is then removed with the next write.
+    On a full disk the folder can still be read; the next write then removes a torn tail.
 
     Args:
         folder: Data folder, which must exist.
-        sync: Makes the data of an open file last.
+        sync: Syncs an open file descriptor to the disk.
 
     Returns:
-        The journal, ready for writing, and what was recovered.
+        The journal, ready for writing, and the recovered state.
 
     Raises:
-        StorageError: If anything but a torn tail is wrong, the disk fails, or a new folder finds
-            no room for its files.
+        StorageError: If the folder is damaged other than by a torn tail, a sync fails, or the disk
+            has no space for the files of a new folder.
     """
     snapshot = load_snapshot(folder)
     path = folder / JOURNAL_FILE
--- a/src/ledgeladder/storage/records.py
+++ b/src/ledgeladder/storage/records.py
@@ -1,4 +1,4 @@
-"""Checksummed records: the framing that the journal and the snapshot share."""
+"""Framing of checksummed records, used by the journal and the snapshot."""
 
 from __future__ import annotations
 
@@ -13,55 +13,55 @@
 """Length of the payload and its CRC-32."""
 
 MAX_PAYLOAD_BYTES: Final = 256 * 1024 * 1024
-"""Longest payload that is believed, in bytes."""
+"""Maximum payload length; a longer one is treated as corrupt."""
 
 
 class Tail(StrEnum):
-    """How a run of records ends."""
+    """How a sequence of records ends."""
 
     CLEAN = "clean"
-    """Right after a whole record."""
+    """Directly after a complete record."""
 
     TORN = "torn"
-    """In the middle of the last record, or with one that was not written in full."""
+    """With an incomplete last record."""
 
     CORRUPT = "corrupt"
-    """With a bad record that others follow, or with an absurd length."""
+    """With a damaged record that other data follows, or with an excessive length."""
 
 
 class RecordScan(msgspec.Struct, frozen=True, kw_only=True):
-    """What was found in a run of records."""
+    """Result of scanning a sequence of records."""
 
     payloads: list[bytes]
-    """Payloads of the good records, in order."""
+    """Payloads of the valid records, in order."""
 
     valid_length: int
-    """Offset one past the last good record."""
+    """Offset of the end of the last valid record, in bytes."""
 
     tail: Tail
-    """What follows it."""
+    """State of the data after it."""
 
 
 def frame_record(payload: bytes) -> bytes:
-    """Put a length and a checksum before a payload."""
+    """Return a payload with its length and checksum prepended."""
     return HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
 def scan_records(content: bytes, start: int) -> RecordScan:
-    r"""Read records up to the end or to the first bad one.
+    r"""Read records up to the end or to the first invalid one.
 
-    A crash can leave the last write short, or leave zeros where the file grew before its data was
-    written, or leave a write of full length of which some blocks are missing; all are torn. One
-    record is one synced write, so a bad last record was never promised to anybody: the next write
-    starts only after the sync of the one before has returned. A bad record with another behind it
-    was synced once and is corrupt.
+    A crash may truncate the last write, leave zeros where the file grew before its data was
+    written, or leave a write of full length with missing blocks. All of these are a torn tail. Each
+    record is one synced write, and a write starts only after the previous sync returned. An invalid
+    last record was therefore never acknowledged, whereas an invalid record that another one follows
+    was synced and is corrupt.
 
     Args:
-        content: The whole file.
-        start: Offset of the first record.
+        content: Content of the whole file.
+        start: Offset of the first record, in bytes.
 
     Returns:
-        The records and the state of the tail.
+        The valid records and the state of the tail.
 
     >>> scan_records(frame_record(b"abc") + b"\x00", 0).tail.value
     'torn'
