--- a/src/ledgeladder/daemons/entry/main.py
+++ b/src/ledgeladder/daemons/entry/main.py
@@ -118,7 +118,7 @@
     context.send_to_controls = lambda message: send_to_controls(follower, message)
     limiter = context.limit_keeper = RateLimiter(
         table=context.upstreams.limits,
-        attach=lambda name, held: set_limit(context.upstreams, name, held),
+        attach=lambda name, limit: set_limit(context.upstreams, name, limit),
         control_links=lambda: control_links(follower),
     )
     membership = build_membership(context)
--- a/tests/daemons/test_at_most_once.py
+++ b/tests/daemons/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Requests that may run at most once, with their entry killed at each point, resent elsewhere."""
+"""At-most-once requests are not run twice if their entry is killed and the caller retries."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
     return int(status["claims"])
 
 
-def cut_replies_of_controls(fleet: Fleet, entry: str) -> None:
-    """Let commands reach the control boxes, and no answer come back to one entry."""
+def drop_replies_of_controls(fleet: Fleet, entry: str) -> None:
+    """Let commands of an entry reach the control boxes, but drop the replies."""
     assert fleet.proxy is not None
     source = domain_host(fleet.processes[entry].domain)
     for name in fleet.control_names:
@@ -44,7 +44,7 @@
         fleet.proxy.set_between(source, host, Fault(drop_back=True))
 
 
-def test_answer_is_recorded_and_given_again(healed: Fleet) -> None:
+def test_recorded_answer_is_returned_to_a_retry(healed: Fleet) -> None:
     key = new_key()
     first = book(healed, FIRST, key)
     assert first.status_code == 200, first.text
@@ -74,7 +74,7 @@
 def test_entry_killed_after_claim(healed: Fleet) -> None:
     key = new_key()
     before = claims_held(healed)
-    cut_replies_of_controls(healed, FIRST)
+    drop_replies_of_controls(healed, FIRST)
     thread = book_in_background(healed, key, 0.0)
     wait_until(lambda: claims_held(healed) > before, 10, "the claim")
     healed.kill(FIRST)
@@ -111,7 +111,7 @@
     assert executions(healed, key) == 1
 
 
-def test_all_boxes_at_once_run_it_once(healed: Fleet) -> None:
+def test_concurrent_requests_on_all_boxes_run_once(healed: Fleet) -> None:
     key = new_key()
     answers: list[httpx.Response] = []
     threads = [
@@ -127,7 +127,7 @@
     assert any(answer.status_code == 200 for answer in answers)
 
 
-def test_service_that_dies_in_the_middle_is_unknown_for_ever(healed: Fleet) -> None:
+def test_call_stays_unknown_after_its_service_was_killed(healed: Fleet) -> None:
     key = new_key()
     thread_answer: list[httpx.Response] = []
     thread = threading.Thread(
@@ -149,7 +149,7 @@
     assert executions(healed, key) == 0
 
 
-def test_not_run_is_told_and_may_be_resent(healed: Fleet) -> None:
+def test_not_run_is_reported_and_may_be_retried(healed: Fleet) -> None:
     key = new_key()
     services = [name for name in healed.processes if name.startswith("service-")]
     assert healed.proxy is not None
--- a/tests/daemons/test_bad_input.py
+++ b/tests/daemons/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input costs one answer or one connection, and no other request notices."""
+"""Malformed input fails one request or closes one connection, and affects no other request."""
 
 from __future__ import annotations
 
@@ -69,14 +69,14 @@
     assert post(healed, b"", "/v2/nothing").json()["error"]["type"] == "not_found"
 
 
-def raw(fleet: Fleet, name: str) -> socket.socket:
+def connect_to(fleet: Fleet, name: str) -> socket.socket:
     host, _, port = fleet.addresses[name].rpartition(":")
     return socket.create_connection((host, int(port)), timeout=10)
 
 
-def test_floods_and_halves_disturb_nobody(healed: Fleet) -> None:
+def test_floods_and_incomplete_requests_affect_no_other_request(healed: Fleet) -> None:
     stream = Stream(fleet=healed, entry="entry-a1", prompt="undisturbed", count=60)
-    flood = raw(healed, "entry-a1")
+    flood = connect_to(healed, "entry-a1")
     flood.sendall(b"POST /v1/completions HTTP/1.1\r\n")
     try:
         for number in range(3000):
@@ -85,29 +85,31 @@
     except OSError:
         answer = b""
     assert answer == b"" or b" 4" in answer.split(b"\r\n")[0]
-    halves = [raw(healed, "entry-a1") for _ in range(20)]
-    for half in halves:
-        half.sendall(b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 500\r\n\r\n{")
-    binary = raw(healed, "entry-a1")
+    incomplete_requests = [connect_to(healed, "entry-a1") for _ in range(20)]
+    for incomplete in incomplete_requests:
+        incomplete.sendall(
+            b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 500\r\n\r\n{"
+        )
+    binary = connect_to(healed, "entry-a1")
     binary.sendall(os.urandom(4096))
     stream.join()
     assert stream.whole, stream.error
-    for half in halves:
-        half.close()
+    for incomplete in incomplete_requests:
+        incomplete.close()
 
 
-def test_caller_that_stops_reading_disturbs_nobody(healed: Fleet) -> None:
+def test_caller_that_stops_reading_affects_no_other_request(healed: Fleet) -> None:
     body = json.dumps(GOOD | {"max_tokens": 1000, "stream": True})
-    stuck = raw(healed, "entry-a1")
-    stuck.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-    stuck.sendall(
+    stalled = connect_to(healed, "entry-a1")
+    stalled.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+    stalled.sendall(
         b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
         b"Authorization: Bearer key-of-nilayam\r\n"
         + f"Content-Length: {len(body)}\r\n\r\n{body}".encode()
     )
     time.sleep(0.5)
     assert answer_is_right(complete(healed, "entry-a1", "beside it", 8), "beside it", 8)
-    stuck.close()
+    stalled.close()
 
 
 @pytest.mark.parametrize("name", ["entry-a1/link", "control-1/link"])
@@ -122,7 +124,7 @@
         nonce=b"1" * 16,
         proof=b"2" * 32,
     )
-    pieces = [
+    garbage_items = [
         rng.randbytes(200),
         b"\x00\x00\x00\x05hello",
         b"\xff\xff\xff\xff",
@@ -130,9 +132,9 @@
         encode_frame(hello) * 2,
         b"\x00\x00\x00\x00" * 50,
     ]
-    for piece in pieces:
-        with raw(healed, name) as link:
-            link.sendall(piece)
+    for garbage in garbage_items:
+        with connect_to(healed, name) as link:
+            link.sendall(garbage)
             link.settimeout(10)
             received = b""
             try:
@@ -145,19 +147,19 @@
     assert answer_is_right(complete(healed, "entry-a1", "after garbage", 4), "after garbage", 4)
 
 
-def test_half_a_body_is_answered(healed: Fleet) -> None:
-    half = raw(healed, "entry-a1")
-    half.settimeout(40)
-    half.sendall(
+def test_incomplete_body_is_answered(healed: Fleet) -> None:
+    incomplete = connect_to(healed, "entry-a1")
+    incomplete.settimeout(40)
+    incomplete.sendall(
         b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
         b"Authorization: Bearer key-of-nilayam\r\nContent-Length: 500\r\n\r\n{"
     )
-    assert half.recv(100).startswith(b"HTTP/1.1 400")
-    half.close()
+    assert incomplete.recv(100).startswith(b"HTTP/1.1 400")
+    incomplete.close()
 
 
 def test_entry_cannot_change_the_configuration(healed: Fleet) -> None:
-    """A process that holds the cluster's secret is no operator."""
+    """The cluster secret alone must not authorize configuration changes."""
     leader = healed.wait_leader()
     before = healed.status(leader)
     command = ChangeCommand(
--- a/tests/daemons/test_chat.py
+++ b/tests/daemons/test_chat.py
@@ -1,4 +1,4 @@
-"""The shapes that existing clients of such interfaces read."""
+"""Answers have the format that clients of compatible APIs expect."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 PROMPT = "user: hello"
 
 
-def test_chat_whole(fleet: Fleet) -> None:
+def test_chat_complete(fleet: Fleet) -> None:
     url = f"{fleet.url('entry-c1')}/v1/chat/completions"
     answer = fleet.client.post(url, json=BODY, headers=KEY).json()
     assert answer["object"] == "chat.completion"
--- a/tests/daemons/test_crashing_generation.py
+++ b/tests/daemons/test_crashing_generation.py
@@ -1,4 +1,4 @@
-"""A request that ends every upstream that runs it, over the product's own interface."""
+"""A request that crashes every upstream that runs it is quarantined, over the HTTP API."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from .conftest import started
 
 ATTEMPTS = 8
-"""Times that the caller comes again, to all entry boxes in turn."""
+"""Number of requests of the caller, to all entry boxes in turn."""
 
-LATE_ENDS = 3
-"""Ends that may come before every box knows."""
+MAX_LATE_CRASHES = 3
+"""Crashes that may happen before every box applies the quarantine."""
 
 
 @pytest.fixture(scope="module")
 def fleet() -> Iterator[Fleet]:
-    """A fleet without a proxy, which would accept connections to processes that have ended."""
+    """A fleet without a proxy, which would accept connections to processes that have exited."""
     with running_fleet(entries_per_domain=(1, 1, 1)) as running:
         yield started(running)
 
@@ -43,7 +43,7 @@
 
 
 def fresh_key() -> str:
-    """Return version 7 of a UUID, as callers draw one for each attempt."""
+    """Return a version 7 UUID, as callers generate one for each attempt."""
     value = (time.time_ns() // 1_000_000) << 80 | 0x7 << 76 | uuid.uuid4().int & ((1 << 76) - 1)
     value = value & ~(0xC << 60) | 0x8 << 60
     return str(uuid.UUID(int=value))
@@ -62,43 +62,43 @@
         service.CRASH_WORD + " ",
     ),
 }
-"""How each kind of request is sent, and what ends its upstreams."""
+"""How each kind of request is sent, and which content crashes its upstreams."""
 
 
-def ended(fleet: Fleet) -> list[str]:
-    """Return the engines and services whose process has ended."""
+def exited_upstreams(fleet: Fleet) -> list[str]:
+    """Return the engines and services whose process has exited."""
     names = [spec.name for spec in fleet.engines]
     names += [name for name in fleet.processes if name.startswith("service-")]
     return [name for name in names if fleet.processes[name].popen.poll() is not None]
 
 
 @pytest.mark.parametrize("kind", list(KINDS))
-def test_content_that_ends_upstreams_ends_few_of_them(fleet: Fleet, kind: str) -> None:
-    send, word = KINDS[kind]
+def test_crashing_content_crashes_few_upstreams(fleet: Fleet, kind: str) -> None:
+    send, crash_content = KINDS[kind]
 
     def is_served(entry: str) -> bool:
         return send(fleet, entry, "harmless").status_code == 200
 
-    ends = 0
+    crashes = 0
     for number in range(ATTEMPTS):
         for entry in fleet.entry_names:
             wait_until(lambda: is_served(entry), 30, f"{kind} served")  # noqa: B023
-        answer = send(fleet, fleet.entry_names[number % len(fleet.entry_names)], word)
+        answer = send(fleet, fleet.entry_names[number % len(fleet.entry_names)], crash_content)
         assert answer.status_code >= 500
-        for name in ended(fleet):
-            ends += 1
+        for name in exited_upstreams(fleet):
+            crashes += 1
             fleet.launch(name)
-    assert CRASH_LIMIT <= ends <= CRASH_LIMIT + LATE_ENDS
+    assert CRASH_LIMIT <= crashes <= CRASH_LIMIT + MAX_LATE_CRASHES
     for entry in fleet.entry_names:
-        refused = send(fleet, entry, word)
+        refused = send(fleet, entry, crash_content)
         assert refused.status_code == 503
         assert refused.headers["ledgeladder-code"] == "1206"
         assert refused.headers["ledgeladder-execution"] == "not-run"
 
 
-def test_call_that_ran_is_never_said_not_to_have_run(fleet: Fleet) -> None:
-    """Its content is sent nowhere by now, but this very call was sent to a service before."""
-    word = service.CRASH_WORD + "  "
+def test_call_that_ran_is_never_reported_as_not_run(fleet: Fleet) -> None:
+    """A quarantined call must not be reported as not run if it was sent to a service before."""
+    crash_content = service.CRASH_WORD + "  "
     entry = fleet.entry_names[0]
     sent: list[str] = []
 
@@ -108,8 +108,8 @@
     for _ in range(4 * CRASH_LIMIT):
         wait_until(is_served, 30, "services")
         key = fresh_key()
-        answer = call(fleet, entry, word, repeatable=False, key=key)
-        for name in ended(fleet):
+        answer = call(fleet, entry, crash_content, repeatable=False, key=key)
+        for name in exited_upstreams(fleet):
             fleet.launch(name)
         if answer.status_code == 503:
             break
@@ -118,13 +118,13 @@
     assert answer.headers["ledgeladder-code"] == "1206"
     assert len(sent) >= CRASH_LIMIT
     for key in sent:
-        again = call(fleet, entry, word, repeatable=False, key=key)
+        again = call(fleet, entry, crash_content, repeatable=False, key=key)
         assert again.status_code == 409
         assert again.headers["ledgeladder-execution"] == "unknown"
 
 
-def test_engines_that_had_ended_put_no_content_aside(fleet: Fleet) -> None:
-    """The pattern: an innocent request finds one dead engine after the other, and comes again."""
+def test_engines_that_had_exited_quarantine_no_content(fleet: Fleet) -> None:
+    """A harmless request that is retried on engines that had exited must not be quarantined."""
     entry = fleet.entry_names[0]
 
     def is_served() -> bool:
@@ -136,6 +136,6 @@
             fleet.kill(spec.name)
         refused = generate(fleet, entry, "innocent")
         assert refused.headers.get("ledgeladder-code") != "1206"
-        for name in ended(fleet):
+        for name in exited_upstreams(fleet):
             fleet.launch(name)
     wait_until(is_served, 30, "generation served again")
--- a/tests/daemons/test_domain_cuts.py
+++ b/tests/daemons/test_domain_cuts.py
@@ -1,4 +1,4 @@
-"""A failure domain is cut off in silence: each side goes on serving what it can, then heals."""
+"""Both sides of a network partition keep serving, and recover after it heals."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Callers:
-    """Call every entry again and again, and keep what came back."""
+    """Send requests to every entry until stopped, and count the outcomes."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -52,7 +52,7 @@
             thread.join(60)
 
     def wait_for_more(self, seconds: float = 30.0) -> None:
-        """Wait until every entry has answered several more requests in full."""
+        """Wait until every entry has completely answered several more requests."""
         before = {name: counter["whole"] for name, counter in self.outcomes.items()}
         wait_until(
             lambda: all(self.outcomes[name]["whole"] >= before[name] + 5 for name in before),
@@ -62,14 +62,14 @@
 
 
 @pytest.mark.parametrize("domain", DOMAINS)
-def test_cut_domain(healed: Fleet, domain: str) -> None:
+def test_isolated_domain(healed: Fleet, domain: str) -> None:
     assert healed.proxy is not None
     hosts = [domain_host(name) for name in DOMAINS]
     inside = next(n for n in healed.entry_names if healed.processes[n].domain == domain)
     outside = next(n for n in healed.entry_names if healed.processes[n].domain != domain)
     callers = Callers(healed)
     try:
-        go_through_a_cut(healed, callers, domain, inside, outside, hosts)
+        run_partition(healed, callers, domain, inside, outside, hosts)
     finally:
         callers.stop()
     for counter in callers.outcomes.values():
@@ -77,7 +77,7 @@
         assert set(counter) <= {"whole", "wrong", "no_route", "upstream_lost"}, counter
 
 
-def go_through_a_cut(
+def run_partition(
     healed: Fleet, callers: Callers, domain: str, inside: str, outside: str, hosts: list[str]
 ) -> None:
     assert healed.proxy is not None
@@ -102,19 +102,19 @@
     wait_until(lambda: book(healed, inside, new_key()).status_code == 200, 20, "a booking inside")
 
 
-def test_entry_restarted_inside_a_cut_knows_what_its_side_knows(healed: Fleet) -> None:
+def test_entry_restarted_in_a_partition_syncs_with_its_side(healed: Fleet) -> None:
     assert healed.proxy is not None
     domain = "domain-b"
     hosts = [domain_host(name) for name in DOMAINS]
     base = version(healed)
     healed.proxy.isolate(domain_host(domain), hosts)
-    # The one control box on this side answers slowly, so that being ready too early would show.
+    # Delays the only control box on this side, which exposes an entry that is ready too early.
     host, _, port = healed.addresses["control-2/link"].rpartition(":")
     healed.proxy.set_target((host, int(port)), Fault(delay=0.3))
     time.sleep(0.2)
     healed.kill("entry-b1")
     healed.launch("entry-b1")
-    # The first time that it says ready, it must name the version that its side knows.
+    # The first ready page must report the version that is known on its side.
     assert first_ready_page(healed, "entry-b1") == f"ready, version {base}\n"
 
 
--- a/tests/daemons/test_resting_engines.py
+++ b/tests/daemons/test_resting_engines.py
@@ -1,4 +1,4 @@
-"""Calls beside requests, reports and orders, to engines that asked for rest."""
+"""Engines that requested back-off get neither orders nor slowdown queries."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from .test_late_orders import engine
 from .test_late_orders import state as leader
 
-REST = "30"
+BACKOFF_SECONDS = "30"
 
 
 def set_mood(upstream: StandIn, **mood: str) -> None:
@@ -33,21 +33,21 @@
     return upstream.ledger.read_text().count('"refused"') if upstream.ledger.exists() else 0
 
 
-def test_engine_that_asked_for_rest_gets_no_order_until_it_is_over(
+def test_engine_gets_no_order_until_its_backoff_is_over(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The pattern: an engine without layers, which the leader orders again and again."""
+    """Guards against repeated orders to an engine that is backing off."""
     monkeypatch.setattr(order_sending, "may_order", lambda state: True)
     upstream = engine(tmp_path)
     registered = Registration(instance=upstream.instance, sequence=1, address=upstream.address)
     state = leader(1)
     holding = Holding(first=0, end=8)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(serve_http1, upstream.listen, build_site(upstream))
             await anyio.sleep(0.1)
-            set_mood(upstream, rest_of_calls=REST)
+            set_mood(upstream, rest_of_calls=BACKOFF_SECONDS)
             for _ in range(4):
                 outcome = await order_sending.send_order(state, registered, holding, 1)
                 assert outcome is OrderOutcome.BACKING_OFF
@@ -59,29 +59,29 @@
             assert not state.backoffs.until
             tasks.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(scenario)
     assert upstream.layers == (0, 8)
 
 
-def test_engine_that_rests_is_not_asked_how_slowly_it_works(
+def test_engine_that_is_backing_off_gets_no_slowdown_query(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Beside a load an answer may take longer than a stream would wait for it.
+    # On a busy machine an answer may take longer than the timeout of a stream.
     monkeypatch.setattr(slowdown_queries, "QUERY_TIMEOUT_SECONDS", 5.0)
     upstream = engine(tmp_path)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(serve_http1, upstream.listen, build_site(upstream))
             await anyio.sleep(0.1)
-            set_mood(upstream, rest_of_calls=REST)
+            set_mood(upstream, rest_of_calls=BACKOFF_SECONDS)
             state = builders.gateway_state()
-            asked = builders.engine(address=upstream.address)
+            queried = builders.engine(address=upstream.address)
             for _ in range(3):
-                asked.slowdown_at = float("-inf")
-                await query_slowdowns(state, builders.path_over(asked))
-            assert is_backing_off(asked, anyio.current_time())
+                queried.slowdown_at = float("-inf")
+                await query_slowdowns(state, builders.path_over(queried))
+            assert is_backing_off(queried, anyio.current_time())
             tasks.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(scenario)
     assert refused(upstream) == 1
--- a/tests/daemons/test_stage_loss.py
+++ b/tests/daemons/test_stage_loss.py
@@ -1,4 +1,4 @@
-"""A stage is lost in the middle of an answer: the answer arrives whole all the same."""
+"""Answers arrive complete although a stage is lost in the middle."""
 
 from __future__ import annotations
 
@@ -12,19 +12,18 @@
 from .callers import KEY, Stream, complete, engine_stats
 
 TOKENS = 240
-"""Twice what a stream needs to be in progress still when a stage is lost: beside a load the test
-takes some time to find the stages."""
+"""Enough tokens to keep a stream running while the test finds its stages on a busy machine."""
 
-STOOD_STILL_SECONDS = 2.0
-"""How long a stage stands still: more than the time within which it is to take a cancellation."""
+SUSPENDED_SECONDS = 2.0
+"""How long a stage is suspended; longer than the timeout of a single cancellation."""
 
-DROP_SECONDS = 10.0
-"""How long stages may take to drop a request whose caller has left; engines keep what nobody asks
-for three times as long."""
+DROP_TIMEOUT_SECONDS = 10.0
+"""Timeout for stages to drop the request of a caller that disconnected. Engines keep abandoned
+requests three times as long."""
 
 
 def held_sessions(fleet: Fleet) -> dict[str, set[str]]:
-    """Return the requests that each engine that is up holds."""
+    """Return the sessions that each running engine holds."""
     return {
         spec.name: set(engine_stats(fleet, spec.name)["sessions"])
         for spec in fleet.engines
@@ -33,7 +32,7 @@
 
 
 def busy_engines(fleet: Fleet, before: dict[str, set[str]] | None = None) -> list[str]:
-    """Return the engines that hold requests which they did not hold before."""
+    """Return the engines that hold sessions which they did not hold before."""
     before = before or {}
     now = held_sessions(fleet)
     return [name for name, sessions in now.items() if sessions - before.get(name, set())]
@@ -84,8 +83,8 @@
 def test_stage_that_stood_still_drops_the_request_of_a_caller_that_left(
     healed: Fleet, first_layer: str
 ) -> None:
-    """The pattern: a stage stands still while a caller leaves, and is told so in vain. It goes on
-    holding the request, for as long as engines keep what nobody asks for."""
+    """Guards against a stage that misses the cancellation while suspended, and holds the request
+    until engines drop abandoned ones."""
     before = held_sessions(healed)
     body = {"model": "captions", "prompt": f"{first_layer} stands", "max_tokens": 1000}
     url = f"{healed.url('entry-b1')}/v1/completions"
@@ -95,11 +94,13 @@
         assert next(lines).startswith("data: ")
         heads = {spec.name for spec in healed.engines if spec.first == 0}
         busy = busy_engines(healed, before)
-        stopped = next(name for name in busy if (name in heads) == (first_layer == "head"))
-        healed.signal(stopped, signal.SIGSTOP)
-    time.sleep(STOOD_STILL_SECONDS)
-    healed.signal(stopped, signal.SIGCONT)
-    wait_until(lambda: not busy_engines(healed, before), DROP_SECONDS, "all stages to drop it")
+        suspended = next(name for name in busy if (name in heads) == (first_layer == "head"))
+        healed.signal(suspended, signal.SIGSTOP)
+    time.sleep(SUSPENDED_SECONDS)
+    healed.signal(suspended, signal.SIGCONT)
+    wait_until(
+        lambda: not busy_engines(healed, before), DROP_TIMEOUT_SECONDS, "all stages to drop it"
+    )
 
 
 def test_no_route_is_refused_at_once_as_not_run(healed: Fleet) -> None:
@@ -108,21 +109,21 @@
             healed.kill(spec.name)
     refused = complete(healed, "entry-a1", "nowhere", 4)
     while refused.status_code == 502:
-        # The first tries find out that the engines are gone.
+        # The first requests detect that the engines have exited.
         refused = complete(healed, "entry-a1", "nowhere", 4)
     assert refused.status_code == 503
     assert refused.headers["ledgeladder-execution"] == "not-run"
     assert int(refused.headers["retry-after"]) >= 1
 
 
-def test_stream_that_cannot_go_on_is_told_so_before_its_deadline(healed: Fleet) -> None:
+def test_stream_without_route_fails_before_its_deadline(healed: Fleet) -> None:
     stream = start_stream(healed, "nowhere to go")
     for spec in healed.engines:
         if spec.end == 32:
             healed.kill(spec.name)
     stream.join()
     assert stream.error is not None
-    # At the deadline it would be told deadline_exceeded.
+    # At the deadline the error would be deadline_exceeded.
     assert stream.error["type"] == "upstream_lost"
     assert stream.error["execution"] == "ran"
     assert stream.error["retry_after"]
--- a/tests/upstreams/test_engine.py
+++ b/tests/upstreams/test_engine.py
@@ -1,4 +1,4 @@
-"""Cancelling on engines that do not take it at once."""
+"""Cancellations are retried on engines that do not answer."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 
-@pytest.mark.parametrize("silent", [0, 1, 3])
-def test_engine_that_stands_still_is_told_again_until_it_takes_it(
-    monkeypatch: pytest.MonkeyPatch, silent: int
+@pytest.mark.parametrize("unanswered", [0, 1, 3])
+def test_cancellation_is_retried_until_engine_confirms(
+    monkeypatch: pytest.MonkeyPatch, unanswered: int
 ) -> None:
-    """The pattern: a stage is suspended, or busy, when a caller leaves. Told once and in vain, it
-    held the request until it forgot it by itself, half a minute later."""
+    """Guards against a suspended or busy stage that holds an abandoned request after a single
+    unanswered cancellation."""
     monkeypatch.setattr(engine, "CANCEL_REQUEST_TIMEOUT_SECONDS", 0.05)
     monkeypatch.setattr(engine, "CANCEL_RETRY_DELAY_SECONDS", 0.01)
-    told: list[bytes] = []
+    received: list[bytes] = []
 
-    async def play() -> None:
+    async def scenario() -> None:
         async def serve(stream: SocketStream) -> None:
             async with stream:
-                told.append(await stream.receive())
-                if len(told) <= silent:
+                received.append(await stream.receive())
+                if len(received) <= unanswered:
                     await sleep_forever()
                 await stream.send(ANSWER)
 
@@ -40,18 +40,18 @@
                 await cancel_on_engine(client, f"127.0.0.1:{port}", REQUEST)
             tasks.cancel_scope.cancel()
 
-    run(play)
-    assert len(told) == silent + 1
+    run(scenario)
+    assert len(received) == unanswered + 1
 
 
-def test_engine_that_has_ended_is_told_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cancellation_is_not_retried_on_exited_engine(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine, "CANCEL_RETRY_DELAY_SECONDS", 3600.0)
 
-    async def play() -> None:
+    async def scenario() -> None:
         listener = await create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(SocketAttribute.local_port)
         await listener.aclose()
         async with httpx.AsyncClient(trust_env=False) as client:
             await cancel_on_engine(client, f"127.0.0.1:{port}", REQUEST)
 
-    run(play)
+    run(scenario)
