--- a/standins/model_function.py
+++ b/standins/model_function.py
@@ -1,8 +1,8 @@
-"""The model that the stand-in engines run: integers in place of tensors.
+"""The model of the stand-in engines, which computes on integers in place of tensors.
 
-Each layer keeps a cache that depends on every earlier position, as the attention cache of a real
-model does. A token is a pure function of the prompt and its position, and comes out wrong if any
-layer was skipped, doubled, swapped, or run with a cache that does not belong to the request.
+Each layer keeps a cache that depends on every earlier position, like the attention cache of a real
+model. A token is a pure function of the prompt and its position. It is wrong if a layer was
+skipped, run twice or out of order, or run with the cache of another request.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(kw_only=True)
 class SpanCache:
-    """What an engine keeps for one request: the cache of its layers at each position."""
+    """Cache of one request in one engine: the state of each layer at each position."""
 
     first: int
     end: int
@@ -24,40 +24,40 @@
 
     @property
     def positions(self) -> int:
-        """Number of positions that the cache covers."""
+        """Number of cached positions."""
         return len(self.history)
 
     def truncate(self, positions: int) -> None:
-        """Drop the positions from `positions` on."""
+        """Keep the first `positions` positions and drop the rest."""
         del self.history[positions:]
 
 
 def prompt_seed(prompt: str) -> int:
-    """Turn a prompt into a number."""
+    """Return the hash of a prompt, which is the input at position 0."""
     return int.from_bytes(hashlib.blake2b(prompt.encode(), digest_size=7).digest(), "big")
 
 
 def run_layers(cache: SpanCache, value: int) -> int:
-    """Run the layers of a span for the next position."""
-    before = cache.history[-1] if cache.history else (1,) * (cache.end - cache.first)
-    after = []
+    """Run the layers of a span for the next position and return the output of the last one."""
+    previous_states = cache.history[-1] if cache.history else (1,) * (cache.end - cache.first)
+    states = []
     for layer in range(cache.first, cache.end):
-        memory = (before[layer - cache.first] * 48271 + value + layer) % PRIME
-        value = (value * 69621 + memory * 3 + layer * layer + 1) % PRIME
-        after.append(memory)
-    cache.history.append(tuple(after))
+        state = (previous_states[layer - cache.first] * 48271 + value + layer) % PRIME
+        value = (value * 69621 + state * 3 + layer * layer + 1) % PRIME
+        states.append(state)
+    cache.history.append(tuple(states))
     return value
 
 
 def input_at(seed: int, tokens: list[int], position: int) -> int:
-    """Return what enters the first layer at a position."""
+    """Return the input of the first layer at a position."""
     if position == 0:
         return seed
     return (seed + tokens[position - 1] * 7919 + position) % PRIME
 
 
 def token_of(value: int) -> int:
-    """Return the token that comes out of the last layer."""
+    """Return the token for the output of the last layer."""
     return value % VOCABULARY
 
 
@@ -67,7 +67,7 @@
 
 
 def reference_answer(prompt: str, layers: int, count: int) -> str:
-    """Return the only right answer to a prompt."""
+    """Return the correct answer to a prompt."""
     cache = SpanCache(first=0, end=layers)
     seed = prompt_seed(prompt)
     tokens: list[int] = []
