--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in model engine: holds a range of layers, batches continuously, checks every step.
+"""A stand-in model engine with a range of layers, continuous batching and checks of every step.
 
 Run as `python -m standins.engine NAME ADDRESS FIRST END LAYER_SECONDS [--ignore-fences]`.
 """
@@ -43,34 +43,34 @@
     StepDone,
     StepFailed,
     encode,
-    messages_of,
+    read_messages,
     stage_address,
 )
 
 CRASH_WORD = "ends-its-engine"
-"""Prompt that ends the first engine that runs it."""
+"""Prompt that crashes the head engine that runs it."""
 
 SESSION_IDLE_SECONDS = 30.0
-LOAD_LAG_SECONDS = 0.5
+LOAD_REFRESH_SECONDS = 0.5
 
 
 @dataclass(kw_only=True)
-class Held:
-    """What this engine holds for one request."""
+class SessionState:
+    """Cache and outputs of one request in this engine."""
 
     attempt: int
     cache: SpanCache
     outputs: list[int] = field(default_factory=list)
-    touched_at: float = 0.0
+    last_used_at: float = 0.0
 
 
 @dataclass(kw_only=True)
-class HeadRun:
-    """A request whose head this engine is."""
+class HeadAttempt:
+    """An attempt of a request with this engine as its head."""
 
     attempt: int
     result: StepDone | StepFailed | None = None
-    wake: anyio.Event = field(default_factory=anyio.Event)
+    result_ready: anyio.Event = field(default_factory=anyio.Event)
 
 
 @dataclass(kw_only=True)
@@ -84,53 +84,55 @@
     batcher: Batcher
     tasks: TaskGroup
     check_fences: bool = True
-    held: dict[str, Held] = field(default_factory=dict)
-    heads: dict[str, HeadRun] = field(default_factory=dict)
-    fenced: dict[str, int] = field(default_factory=dict)
+    sessions: dict[str, SessionState] = field(default_factory=dict)
+    head_attempts: dict[str, HeadAttempt] = field(default_factory=dict)
+    lowest_attempts: dict[str, int] = field(default_factory=dict)
     links: dict[str, SocketStream] = field(default_factory=dict)
     link_locks: dict[str, anyio.Lock] = field(default_factory=dict)
     counts: Counter[str] = field(default_factory=Counter)
-    leaving: bool = False
-    rest: str = ""
-    """Time that it names while it refuses new requests and looks at its load, or empty."""
-    limit: str = ""
-    """Requests a second that it names in its answers, or empty."""
-    lagged_running: int = 0
+    draining: bool = False
+    backoff: str = ""
+    """`Retry-After` in refusals of new requests and load checks; empty for no back-off."""
+    rate_limit: str = ""
+    """Rate limit in its responses, in requests a second; empty for none."""
+    reported_sessions: int = 0
     highest_fence: tuple[int, int] = (0, 0)
-    wanted: tuple[str, str, int, int] | None = None
+    ordered_weights: tuple[str, str, int, int] | None = None
     loading: bool = False
     store: str = ""
     orders: list[tuple[int, int, str]] = field(default_factory=list)
 
     # -- running layers ---------------------------------------------------------------------
 
-    def admit(self, session: str, attempt: int, first: int, end: int) -> Held | None:
-        """Return the state of a request for an attempt, or None if the attempt is old."""
-        if attempt < self.fenced.get(session, 0):
+    def admit(self, session: str, attempt: int, first: int, end: int) -> SessionState | None:
+        """Return the state of a request for an attempt, or None for an outdated attempt."""
+        if attempt < self.lowest_attempts.get(session, 0):
             self.counts["old-attempts"] += 1
             return None
-        self.fenced[session] = attempt
-        held = self.held.get(session)
-        if held is None or (held.cache.first, held.cache.end) != (first, end):
-            held = Held(attempt=attempt, cache=SpanCache(first=first, end=end))
-            self.held[session] = held
-        held.attempt = attempt
-        held.touched_at = anyio.current_time()
-        return held
-
-    async def compute(self, held: Held, attempt: int, first: int, values: tuple[int, ...]) -> bool:
-        """Run positions from `first` on, in one step of the batch."""
+        self.lowest_attempts[session] = attempt
+        state = self.sessions.get(session)
+        if state is None or (state.cache.first, state.cache.end) != (first, end):
+            state = SessionState(attempt=attempt, cache=SpanCache(first=first, end=end))
+            self.sessions[session] = state
+        state.attempt = attempt
+        state.last_used_at = anyio.current_time()
+        return state
+
+    async def compute(
+        self, state: SessionState, attempt: int, first: int, values: tuple[int, ...]
+    ) -> bool:
+        """Run positions from `first` on in one batch step; False if a newer attempt intervened."""
         done = anyio.Event()
-        layers = held.cache.end - held.cache.first
+        layers = state.cache.end - state.cache.first
         self.batcher.submit(layers=layers, positions=len(values), done=done.set)
         await done.wait()
-        if held.attempt != attempt or held.cache.positions < first:
+        if state.attempt != attempt or state.cache.positions < first:
             self.counts["overtaken"] += 1
             return False
-        held.cache.truncate(first)
-        del held.outputs[first:]
+        state.cache.truncate(first)
+        del state.outputs[first:]
         for value in values:
-            held.outputs.append(run_layers(held.cache, value))
+            state.outputs.append(run_layers(state.cache, value))
         self.counts["positions"] += 1
         self.counts["replayed-positions"] += len(values) - 1
         self.counts["layer-steps"] += layers
@@ -139,7 +141,7 @@
     # -- stage messages ---------------------------------------------------------------------
 
     async def send(self, address: str, message: StageMessage) -> bool:
-        """Send a message to another engine; False if it cannot be reached."""
+        """Send a message to another engine; False if the engine is unreachable."""
         lock = self.link_locks.setdefault(address, anyio.Lock())
         try:
             async with lock:
@@ -159,22 +161,24 @@
             return False
 
     async def read_replies(self, address: str, stream: SocketStream) -> None:
-        """Read what comes back on a connection that this engine opened."""
+        """Read the replies on a connection that this engine opened."""
         async with stream:
-            async for message in messages_of(stream):
+            async for message in read_messages(stream):
                 if isinstance(message, NeedInputs):
                     self.tasks.start_soon(self.resend, message)
         if self.links.get(address) is stream:
             del self.links[address]
             self.counts["links-lost"] += 1
-            await self.fail_runs_through(address)
+            await self.fail_steps_to(address)
 
-    async def fail_runs_through(self, address: str) -> None:
-        """Wake the heads whose next stage was lost; others hear it from their stage."""
-        for waiting in list(self.forwarded.items()):
-            session, (step, target) = waiting
+    async def fail_steps_to(self, address: str) -> None:
+        """Report a lost connection to the heads of all steps forwarded to its address."""
+        for item in list(self.forwarded.items()):
+            session, (step, target) = item
             if target == address:
-                await self.report(step, step.route[1].upstream, refused=False, leaving=False)
+                await self.report_failure(
+                    step, step.route[1].upstream, refused=False, leaving=False
+                )
                 self.forwarded.pop(session, None)
 
     forwarded: dict[str, tuple[Step, str]] = field(default_factory=dict)
@@ -182,39 +186,39 @@
     async def serve_stage(self, stream: SocketStream) -> None:
         """Serve a connection that another engine opened."""
         async with stream:
-            async for message in messages_of(stream):
+            async for message in read_messages(stream):
                 match message:
                     case Step():
                         self.tasks.start_soon(self.run_step, message, stream)
                     case StepDone() | StepFailed():
-                        self.take_result(message)
+                        self.handle_result(message)
                     case Drop():
-                        self.tasks.start_soon(self.drop, message)
+                        self.tasks.start_soon(self.handle_drop, message)
 
     async def run_step(self, step: Step, stream: SocketStream) -> None:
-        """Run a step that came from the stage before and pass it on."""
+        """Run a step from the previous stage and forward the result."""
         stage = step.route[0]
         if stage.first < self.first or stage.end > self.end or stage.upstream != self.name:
             self.counts["foreign-steps"] += 1
-            await self.report(step, self.name, refused=True, leaving=False)
+            await self.report_failure(step, self.name, refused=True, leaving=False)
             return
-        if (self.leaving or self.loading) and step.session not in self.held:
-            await self.report(step, self.name, refused=True, leaving=True)
+        if (self.draining or self.loading) and step.session not in self.sessions:
+            await self.report_failure(step, self.name, refused=True, leaving=True)
             return
-        held = self.admit(step.session, step.attempt, stage.first, stage.end)
-        if held is None:
+        state = self.admit(step.session, step.attempt, stage.first, stage.end)
+        if state is None:
             return
         first = step.position + 1 - len(step.values)
-        if held.cache.positions < first:
-            need = NeedInputs(step=step, first=held.cache.positions)
+        if state.cache.positions < first:
+            need = NeedInputs(step=step, first=state.cache.positions)
             with contextlib.suppress(anyio.BrokenResourceError, anyio.ClosedResourceError):
                 await stream.send(encode(need))
             return
-        if await self.compute(held, step.attempt, first, step.values):
-            await self.pass_on(step, held)
+        if await self.compute(state, step.attempt, first, step.values):
+            await self.forward(step, state)
 
-    async def pass_on(self, step: Step, held: Held) -> None:
-        """Send a computed position to the next stage, or the result to the head."""
+    async def forward(self, step: Step, state: SessionState) -> None:
+        """Send a computed position to the next stage, or from the last stage to the head."""
         stage = step.route[0]
         line = ReceiptStage(stage.upstream, stage.first, stage.end)
         receipt = (*step.receipt, line)
@@ -223,11 +227,11 @@
                 session=step.session,
                 attempt=step.attempt,
                 position=step.position,
-                value=held.outputs[step.position],
+                value=state.outputs[step.position],
                 receipt=receipt,
             )
             if step.head == self.address:
-                self.take_result(done)
+                self.handle_result(done)
             else:
                 await self.send(step.head, done)
             return
@@ -236,27 +240,29 @@
             attempt=step.attempt,
             head=step.head,
             position=step.position,
-            values=(held.outputs[step.position],),
+            values=(state.outputs[step.position],),
             route=step.route[1:],
             receipt=receipt,
         )
         target = step.route[1]
         self.forwarded[step.session] = (step, target.address)
         if not await self.send(target.address, onward):
-            await self.report(step, target.upstream, refused=False, leaving=False)
+            await self.report_failure(step, target.upstream, refused=False, leaving=False)
 
     async def resend(self, need: NeedInputs) -> None:
-        """Send the next stage the inputs that it lacks."""
-        held = self.held.get(need.step.session)
-        if held is None or held.attempt != need.step.attempt:
+        """Send the next stage the inputs missing from its cache."""
+        state = self.sessions.get(need.step.session)
+        if state is None or state.attempt != need.step.attempt:
             return
-        values = tuple(held.outputs[need.first : need.step.position + 1])
+        values = tuple(state.outputs[need.first : need.step.position + 1])
         self.counts["replays-sent"] += 1
         step = msgspec.structs.replace(need.step, values=values)
         await self.send(step.route[0].address, step)
 
-    async def report(self, step: Step, upstream: str, *, refused: bool, leaving: bool) -> None:
-        """Tell the head that a stage is of no use."""
+    async def report_failure(
+        self, step: Step, upstream: str, *, refused: bool, leaving: bool
+    ) -> None:
+        """Report to the head that a stage is unreachable or refused the step."""
         failed = StepFailed(
             session=step.session,
             attempt=step.attempt,
@@ -265,63 +271,63 @@
             leaving=leaving,
         )
         if step.head == self.address:
-            self.take_result(failed)
+            self.handle_result(failed)
         else:
             await self.send(step.head, failed)
 
-    def take_result(self, message: StepDone | StepFailed) -> None:
-        """Wake the run that waits for a result."""
-        run = self.heads.get(message.session)
-        if run is not None and run.attempt == message.attempt:
-            run.result = message
-            run.wake.set()
-
-    async def drop(self, message: Drop) -> None:
-        """Forget a request and tell the stages behind."""
-        self.forget(message.session, message.attempt)
-        rest = message.route[1:]
-        if rest:
-            onward = Drop(session=message.session, attempt=message.attempt, route=rest)
-            await self.send(rest[0].address, onward)
-
-    def forget(self, session: str, attempt: int) -> None:
-        """Drop what is held for a request, unless a newer attempt holds it."""
-        held = self.held.get(session)
-        if held is not None and held.attempt <= attempt:
-            del self.held[session]
+    def handle_result(self, message: StepDone | StepFailed) -> None:
+        """Hand a result to the attempt that waits for it."""
+        head = self.head_attempts.get(message.session)
+        if head is not None and head.attempt == message.attempt:
+            head.result = message
+            head.result_ready.set()
+
+    async def handle_drop(self, message: Drop) -> None:
+        """Discard a request and forward the message to the following stages."""
+        self.discard(message.session, message.attempt)
+        following = message.route[1:]
+        if following:
+            onward = Drop(session=message.session, attempt=message.attempt, route=following)
+            await self.send(following[0].address, onward)
+
+    def discard(self, session: str, attempt: int) -> None:
+        """Discard the state of a request unless it belongs to a newer attempt."""
+        state = self.sessions.get(session)
+        if state is not None and state.attempt <= attempt:
+            del self.sessions[session]
             self.forwarded.pop(session, None)
-        self.fenced[session] = max(self.fenced.get(session, 0), attempt + 1)
+        self.lowest_attempts[session] = max(self.lowest_attempts.get(session, 0), attempt + 1)
 
-    # -- being the head ---------------------------------------------------------------------
+    # -- running as the head ----------------------------------------------------------------
 
     async def run_as_head(self, request: RunRequest) -> AsyncIterator[bytes]:
-        """Generate tokens and stream them."""
-        run = HeadRun(attempt=request.attempt)
-        self.heads[request.session] = run
+        """Run an attempt as its head and stream the tokens."""
+        head = HeadAttempt(attempt=request.attempt)
+        self.head_attempts[request.session] = head
         complete = False
         try:
-            async for line in self.generate(request, run):
+            async for line in self.generate(request, head):
                 yield line
             complete = True
         finally:
-            if self.heads.get(request.session) is run:
-                del self.heads[request.session]
+            if self.head_attempts.get(request.session) is head:
+                del self.head_attempts[request.session]
             if not complete:
                 self.counts["heads-cancelled"] += 1
 
-    async def generate(self, request: RunRequest, run: HeadRun) -> AsyncIterator[bytes]:
-        """Run position after position until the answer is whole or a stage fails."""
+    async def generate(self, request: RunRequest, head: HeadAttempt) -> AsyncIterator[bytes]:
+        """Run each position until the answer is complete or a stage fails."""
         stage = request.route[0]
         tokens = list(request.tokens)
         seed = prompt_seed(request.prompt)
-        held = self.admit(request.session, request.attempt, stage.first, stage.end)
-        while held is not None and len(tokens) < request.max_tokens:
+        state = self.admit(request.session, request.attempt, stage.first, stage.end)
+        while state is not None and len(tokens) < request.max_tokens:
             position = len(tokens)
-            first = min(held.cache.positions, position)
+            first = min(state.cache.positions, position)
             values = tuple(input_at(seed, tokens, at) for at in range(first, position + 1))
-            if not await self.compute(held, request.attempt, first, values):
+            if not await self.compute(state, request.attempt, first, values):
                 return
-            run.result, run.wake = None, anyio.Event()
+            head.result, head.result_ready = None, anyio.Event()
             step = Step(
                 session=request.session,
                 attempt=request.attempt,
@@ -331,8 +337,8 @@
                 route=request.route,
                 receipt=(),
             )
-            await self.pass_on(step, held)
-            result = await self.wait_for(run, position)
+            await self.forward(step, state)
+            result = await self.wait_for_result(head, position)
             if isinstance(result, StepFailed):
                 lost = LostFrame(
                     session=request.session,
@@ -354,14 +360,14 @@
             )
             yield msgspec.json.encode(frame) + b"\n"
         drop = Drop(session=request.session, attempt=request.attempt, route=request.route)
-        self.tasks.start_soon(self.drop, drop)
+        self.tasks.start_soon(self.handle_drop, drop)
 
-    async def wait_for(self, run: HeadRun, position: int) -> StepDone | StepFailed:
-        """Wait for the result of a position; late results of earlier ones are passed over."""
+    async def wait_for_result(self, head: HeadAttempt, position: int) -> StepDone | StepFailed:
+        """Wait for the result of a position, ignoring late results of earlier ones."""
         while True:
-            await run.wake.wait()
-            run.wake = anyio.Event()
-            result = run.result
+            await head.result_ready.wait()
+            head.result_ready = anyio.Event()
+            result = head.result
             if isinstance(result, StepFailed):
                 return result
             if result is not None and result.position == position:
@@ -369,28 +375,28 @@
 
     # -- housekeeping -----------------------------------------------------------------------
 
-    async def expire(self) -> None:
-        """Drop requests that nobody has touched for long, and refresh the lagging load."""
+    async def expire_sessions(self) -> None:
+        """Discard idle requests and refresh the reported load, until cancelled."""
         while True:
-            await anyio.sleep(LOAD_LAG_SECONDS)
-            self.lagged_running = len(self.held)
+            await anyio.sleep(LOAD_REFRESH_SECONDS)
+            self.reported_sessions = len(self.sessions)
             limit = anyio.current_time() - SESSION_IDLE_SECONDS
-            for session in [s for s, held in self.held.items() if held.touched_at < limit]:
-                del self.held[session]
+            for session in [s for s, state in self.sessions.items() if state.last_used_at < limit]:
+                del self.sessions[session]
                 self.counts["expired"] += 1
-            while len(self.fenced) > 20_000:
-                del self.fenced[next(iter(self.fenced))]
+            while len(self.lowest_attempts) > 20_000:
+                del self.lowest_attempts[next(iter(self.lowest_attempts))]
 
-    def take_order(self, order: OrderRequest) -> bool:
-        """Carry out a fenced order; True once the weights are loaded."""
+    def handle_order(self, order: OrderRequest) -> bool:
+        """Apply a fenced order; True when its weights are loaded."""
         fence = (order.term, order.index)
         if self.check_fences and fence < self.highest_fence:
             self.counts["orders-refused"] += 1
             return False
         self.highest_fence = max(self.highest_fence, fence)
-        wanted = (order.model, order.version, order.first, order.end)
-        if self.wanted != wanted:
-            self.wanted = wanted
+        ordered = (order.model, order.version, order.first, order.end)
+        if self.ordered_weights != ordered:
+            self.ordered_weights = ordered
             self.orders.append((order.term, order.index, order.version))
             self.loading = True
             self.tasks.start_soon(self.load, order)
@@ -398,11 +404,11 @@
         return not self.loading
 
     async def load(self, order: OrderRequest) -> None:
-        """Fetch the weights from the store, as slowly as it gives them."""
+        """Load the weights from the store and switch to the ordered layers."""
         layers = order.end - order.first
         async with httpx.AsyncClient(verify=False, trust_env=False, timeout=60) as client:
             await client.get(f"http://{self.store}/weights?layers={layers}")
-        if self.wanted == (order.model, order.version, order.first, order.end):
+        if self.ordered_weights == (order.model, order.version, order.first, order.end):
             self.loading = False
             self.first, self.end = order.first, order.end
             self.counts["loads"] += 1
@@ -411,37 +417,37 @@
 def build_app(engine: Engine) -> Starlette:
     """Build the engine's HTTP interface."""
 
-    def refuse_for_rest() -> Response:
-        return Response(status_code=503, headers={"retry-after": engine.rest})
+    def refuse_for_backoff() -> Response:
+        return Response(status_code=503, headers={"retry-after": engine.backoff})
 
     async def run(request: Request) -> Response:
         body = msgspec.json.decode(await request.body(), type=RunRequest)
         stage = body.route[0]
-        known = body.session in engine.held
-        if engine.rest and not known:
+        known = body.session in engine.sessions
+        if engine.backoff and not known:
             engine.counts["refused"] += 1
-            return refuse_for_rest()
-        if (engine.leaving or engine.loading) and not known:
+            return refuse_for_backoff()
+        if (engine.draining or engine.loading) and not known:
             refusal = RefusalBody(reason="leaving or loading", leaving=True)
             return Response(msgspec.json.encode(refusal), status_code=503)
         if stage.upstream != engine.name or stage.first < engine.first or stage.end > engine.end:
             engine.counts["foreign-steps"] += 1
             refusal = RefusalBody(reason="layers not held")
             return Response(msgspec.json.encode(refusal), status_code=409)
-        if body.attempt < engine.fenced.get(body.session, 0):
+        if body.attempt < engine.lowest_attempts.get(body.session, 0):
             refusal = RefusalBody(reason="old attempt")
             return Response(msgspec.json.encode(refusal), status_code=409)
         if body.prompt == CRASH_WORD:
             os._exit(1)
         engine.counts["runs"] += 1
-        headers = {"ledgeladder-rate-limit": engine.limit} if engine.limit else {}
+        headers = {"ledgeladder-rate-limit": engine.rate_limit} if engine.rate_limit else {}
         return StreamingResponse(
             engine.run_as_head(body), headers=headers, media_type="application/x-ndjson"
         )
 
     async def cancel(request: Request) -> Response:
         body = msgspec.json.decode(await request.body(), type=CancelRequest)
-        engine.forget(body.session, body.attempt)
+        engine.discard(body.session, body.attempt)
         engine.counts["cancels"] += 1
         return Response()
 
@@ -449,23 +455,23 @@
         return Response("live")
 
     async def load(request: Request) -> Response:
-        if engine.rest:
+        if engine.backoff:
             engine.counts["looks-refused"] += 1
-            return refuse_for_rest()
+            return refuse_for_backoff()
         return JSONResponse(
-            {"running": engine.lagged_running, "leaving": engine.leaving or engine.loading}
+            {"running": engine.reported_sessions, "leaving": engine.draining or engine.loading}
         )
 
     async def order(request: Request) -> Response:
         body = msgspec.json.decode(await request.body(), type=OrderRequest)
-        done = engine.take_order(body)
+        done = engine.handle_order(body)
         return JSONResponse({"done": done}, status_code=200 if done else 409)
 
     async def control(request: Request) -> Response:
         body = await request.json()
-        engine.leaving = body.get("leaving", engine.leaving)
-        engine.rest = body.get("rest", engine.rest)
-        engine.limit = body.get("limit", engine.limit)
+        engine.draining = body.get("leaving", engine.draining)
+        engine.backoff = body.get("rest", engine.backoff)
+        engine.rate_limit = body.get("limit", engine.rate_limit)
         speed = engine.batcher.speed
         speed.slow_factor = body.get("slow_factor", speed.slow_factor)
         return Response()
@@ -474,12 +480,12 @@
         return JSONResponse(
             {
                 "counts": dict(engine.counts),
-                "held": len(engine.held),
-                "sessions": list(engine.held),
+                "held": len(engine.sessions),
+                "sessions": list(engine.sessions),
                 "steps": engine.batcher.steps,
                 "busy_seconds": engine.batcher.busy_seconds,
                 "orders": engine.orders,
-                "version": engine.wanted[1] if engine.wanted else "",
+                "version": engine.ordered_weights[1] if engine.ordered_weights else "",
             }
         )
 
@@ -497,7 +503,7 @@
 
 
 async def main(arguments: argparse.Namespace) -> None:
-    """Run the engine until SIGTERM."""
+    """Serve until SIGTERM or SIGINT."""
     async with anyio.create_task_group() as tasks:
         engine = Engine(
             name=arguments.name,
@@ -517,7 +523,7 @@
         stop = anyio.Event()
         tasks.start_soon(listener.serve, engine.serve_stage)
         tasks.start_soon(engine.batcher.run)
-        tasks.start_soon(engine.expire)
+        tasks.start_soon(engine.expire_sessions)
         tasks.start_soon(serve_http, build_app(engine), arguments.address, stop)
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for _ in signals:
--- a/standins/stage_link.py
+++ b/standins/stage_link.py
@@ -1,4 +1,4 @@
-"""Messages between stand-in engines and their connections."""
+"""Messages between the stages of stand-in engines, and their framing on TCP connections."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from ledgeladder.upstreams.engine import ReceiptStage, RouteStage
 
-LENGTH = struct.Struct(">I")
+LENGTH_PREFIX = struct.Struct(">I")
 
 
 class Step(msgspec.Struct, frozen=True, kw_only=True, tag="step"):
-    """Run one or more positions; `route` starts with the receiver."""
+    """Run one or more positions on the receiver, the first stage of `route`."""
 
     session: str
     attempt: int
@@ -29,14 +29,14 @@
 
 
 class NeedInputs(msgspec.Struct, frozen=True, kw_only=True, tag="need"):
-    """The receiver of a step lacks the positions from `first` on."""
+    """The receiver of a step has no cache for the positions from `first` on."""
 
     step: Step
     first: int
 
 
 class StepDone(msgspec.Struct, frozen=True, kw_only=True, tag="done"):
-    """The last stage tells the head what came out."""
+    """The last stage sends the head the output of a position."""
 
     session: str
     attempt: int
@@ -46,7 +46,7 @@
 
 
 class StepFailed(msgspec.Struct, frozen=True, kw_only=True, tag="failed"):
-    """A stage tells the head that the next one cannot be reached or refused."""
+    """A stage reports to the head that a stage is unreachable or refused the step."""
 
     session: str
     attempt: int
@@ -56,7 +56,7 @@
 
 
 class Drop(msgspec.Struct, frozen=True, kw_only=True, tag="drop"):
-    """The request has ended; `route` starts with the receiver."""
+    """The request has ended; the receiver is the first stage of `route`."""
 
     session: str
     attempt: int
@@ -69,29 +69,29 @@
 
 
 def encode(message: StageMessage) -> bytes:
-    """Encode a message with its length."""
+    """Encode a message with its length prefix."""
     payload = msgspec.msgpack.encode(message)
-    return LENGTH.pack(len(payload)) + payload
+    return LENGTH_PREFIX.pack(len(payload)) + payload
 
 
-async def messages_of(stream: ByteStream) -> AsyncIterator[StageMessage]:
-    """Yield the messages of a connection until it ends."""
-    pending = bytearray()
+async def read_messages(stream: ByteStream) -> AsyncIterator[StageMessage]:
+    """Yield the messages of a connection until it closes."""
+    buffer = bytearray()
     while True:
         try:
-            pending += await stream.receive(65536)
+            buffer += await stream.receive(65536)
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             return
-        while len(pending) >= LENGTH.size:
-            end = LENGTH.size + LENGTH.unpack_from(pending)[0]
-            if len(pending) < end:
+        while len(buffer) >= LENGTH_PREFIX.size:
+            end = LENGTH_PREFIX.size + LENGTH_PREFIX.unpack_from(buffer)[0]
+            if len(buffer) < end:
                 break
-            payload = bytes(pending[LENGTH.size : end])
-            del pending[:end]
+            payload = bytes(buffer[LENGTH_PREFIX.size : end])
+            del buffer[:end]
             yield _DECODER.decode(payload)
 
 
 def stage_address(address: str) -> tuple[str, int]:
-    """Return where an engine accepts stage messages: one port above its HTTP port."""
+    """Return the host and port for stage messages: one port above the HTTP port."""
     host, _, port = address.rpartition(":")
     return host, int(port) + 1
