--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform: its lagging list of upstreams, and the weight store.
+"""A stand-in of the platform: its delayed list of boxes, and the weight store.
 
-Run as `python -m standins.platform ADDRESS LAG_SECONDS`; `POST /standin/leaving` takes a list of
-addresses, which the list shows only after the lag.
+Run as `python -m standins.platform ADDRESS LAG_SECONDS`. `POST /standin/leaving` sets the addresses
+of the boxes that are leaving; the list shows them after the lag.
 """
 
 from __future__ import annotations
@@ -22,37 +22,37 @@
 
 
 def build_app(lag_seconds: float) -> Starlette:
-    """Build the page."""
+    """Build the HTTP application."""
     changes: list[tuple[float, list[str]]] = [(0.0, [])]
 
-    async def boxes(request: Request) -> Response:
-        visible = anyio.current_time() - lag_seconds
-        shown = [leaving for at, leaving in changes if at <= visible][-1]
+    async def list_boxes(request: Request) -> Response:
+        visible_until = anyio.current_time() - lag_seconds
+        shown = [leaving for at, leaving in changes if at <= visible_until][-1]
         return JSONResponse({"live": [], "leaving": shown})
 
-    async def leave(request: Request) -> Response:
+    async def set_leaving(request: Request) -> Response:
         changes.append((anyio.current_time(), await request.json()))
         return Response()
 
-    store = anyio.Lock()
+    store_lock = anyio.Lock()
 
-    async def weights(request: Request) -> Response:
-        # One reader at a time: the store gives all of its rate to whoever reads.
-        async with store:
+    async def send_weights(request: Request) -> Response:
+        # One download at a time, at the full rate of the store.
+        async with store_lock:
             await anyio.sleep(int(request.query_params["layers"]) * WEIGHT_SECONDS_PER_LAYER)
         return Response()
 
     return Starlette(
         routes=[
-            Route("/boxes", boxes),
-            Route("/weights", weights),
-            Route("/standin/leaving", leave, methods=["POST"]),
+            Route("/boxes", list_boxes),
+            Route("/weights", send_weights),
+            Route("/standin/leaving", set_leaving, methods=["POST"]),
         ]
     )
 
 
 async def main(address: str, lag_seconds: float) -> None:
-    """Run the page until SIGTERM."""
+    """Serve until SIGTERM or SIGINT."""
     stop = anyio.Event()
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(serve_http, build_app(lag_seconds), address, stop)
@@ -67,5 +67,5 @@
     parser.add_argument("address")
     parser.add_argument("lag_seconds", type=float)
     uvloop.install()
-    known = parser.parse_args()
-    anyio.run(main, known.address, known.lag_seconds)
+    arguments = parser.parse_args()
+    anyio.run(main, arguments.address, arguments.lag_seconds)
