--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in plain service that counts every execution.
+"""A stand-in plain service that counts the executions of each idempotency key.
 
 Run as `python -m standins.service ADDRESS`.
 """
@@ -20,26 +20,26 @@
 from ledgeladder.daemons.http import serve_http
 
 CRASH_WORD = "ends-its-service"
-"""What a request asks for that ends the process that runs it."""
+"""Value of `what` in a request that crashes the process."""
 
 REFUSED = "refused"
-"""Under what the requests are counted that were refused for want of rest."""
+"""Counter of the requests refused during a back-off."""
 
 RUNS = "runs"
-"""Under what all requests are counted that were run."""
+"""Counter of all executions."""
 
 
 def build_app() -> Starlette:
-    """Build the service: `POST /work` runs once per call and says how often the key was run."""
+    """Build the service; `POST /work` runs a request and returns the executions of its key."""
     executions: Counter[str] = Counter()
-    rest: list[str] = []
-    limit: list[str] = []
+    backoff: list[str] = []
+    rate_limit: list[str] = []
 
     async def work(request: Request) -> Response:
         body = await request.json()
-        if rest:
+        if backoff:
             executions[REFUSED] += 1
-            headers = {"ledgeladder-execution": "not-run", "retry-after": rest[0]}
+            headers = {"ledgeladder-execution": "not-run", "retry-after": backoff[0]}
             return Response(status_code=503, headers=headers)
         if body.get("what", "").strip() == CRASH_WORD:
             os._exit(1)
@@ -47,7 +47,7 @@
         key = request.headers.get("idempotency-key", "")
         executions[key] += 1
         executions[RUNS] += 1
-        headers = {"ledgeladder-rate-limit": limit[0]} if limit else {}
+        headers = {"ledgeladder-rate-limit": rate_limit[0]} if rate_limit else {}
         content = {"done": body.get("what", ""), "executions": executions[key]}
         return JSONResponse(content, headers=headers)
 
@@ -55,9 +55,9 @@
         return Response(status_code=503, headers={"ledgeladder-execution": "not-run"})
 
     async def control(request: Request) -> Response:
-        told = await request.json()
-        rest[:] = told.get("rest", rest)
-        limit[:] = told.get("limit", limit)
+        settings = await request.json()
+        backoff[:] = settings.get("rest", backoff)
+        rate_limit[:] = settings.get("limit", rate_limit)
         return Response()
 
     async def stats(request: Request) -> Response:
@@ -74,7 +74,7 @@
 
 
 async def main(address: str) -> None:
-    """Run the service until SIGTERM."""
+    """Serve until SIGTERM or SIGINT."""
     stop = anyio.Event()
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(serve_http, build_app(), address, stop)
