--- a/src/ledgeladder/cli/log_commands.py
+++ b/src/ledgeladder/cli/log_commands.py
@@ -1,4 +1,4 @@
-"""`ledgeladder logs`: tables, plots and one request's course out of log files."""
+"""The `logs` command: tables, plots and timelines of requests from log files."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from ..reports import (
     LogReport,
     ReadCounts,
-    RequestCourse,
-    add_course_line,
+    RequestTimeline,
     add_line,
+    add_to_timeline,
+    format_report,
+    format_timeline,
     read_lines,
-    write_course,
-    write_report,
 )
 
 if TYPE_CHECKING:
@@ -25,24 +25,24 @@
     from ..reports import LogLine
 
 STANDARD_INPUT: Final = "-"
-"""Name that stands for standard input in place of a file."""
+"""File name that means standard input."""
 
 
-def report_logs(files: Sequence[str], *, bucket_seconds: float, plots: str | None) -> None:
-    """Print tables of what the lines of some files say, and draw plots if a folder is given.
+def print_report(files: Sequence[str], *, bucket_seconds: float, plots: str | None) -> None:
+    """Print tables about log files, and draw plots if a folder is given.
 
     Args:
         files: Paths; `-` is standard input.
-        bucket_seconds: Length of the spans of time that are told apart.
-        plots: Folder for plots, or None for none.
+        bucket_seconds: Length of a time bucket, in seconds.
+        plots: Output folder of plots, or None to draw none.
 
     Raises:
         OSError: If a file cannot be read.
-        ImportError: If plots are wanted and matplotlib is not installed.
+        ImportError: If plots are requested and matplotlib is not installed.
     """
     report, counts = LogReport(bucket_seconds=bucket_seconds), ReadCounts()
     _read_all(files, counts, lambda line: add_line(report, line))
-    print("\n".join(write_report(report, counts)))
+    print("\n".join(format_report(report, counts)))
     if plots is not None:
         from ..reports.plots import write_plots
 
@@ -50,30 +50,32 @@
             print(f"plot written to {path}")
 
 
-def show_request(files: Sequence[str], request: str) -> bool:
-    """Print the course of one request.
+def print_timeline(files: Sequence[str], request: str) -> bool:
+    """Print the timeline of a request.
 
     Returns:
-        False if none of the files has a line of it.
+        False if no file contains a line of it.
 
     Raises:
         OSError: If a file cannot be read.
     """
-    course = RequestCourse(request=request)
-    _read_all(files, ReadCounts(), lambda line: add_course_line(course, line))
-    print("\n".join(write_course(course)))
-    return bool(course.lines)
+    timeline = RequestTimeline(request=request)
+    _read_all(files, ReadCounts(), lambda line: add_to_timeline(timeline, line))
+    print("\n".join(format_timeline(timeline)))
+    return bool(timeline.lines)
 
 
-def _read_all(files: Sequence[str], counts: ReadCounts, take: Callable[[LogLine], None]) -> None:
+def _read_all(
+    files: Sequence[str], counts: ReadCounts, handle_line: Callable[[LogLine], None]
+) -> None:
     for name in files:
-        with _opened(name) as stream:
+        with _open_log(name) as stream:
             for line in read_lines(stream, counts):
-                take(line)
+                handle_line(line)
 
 
 @contextmanager
-def _opened(name: str) -> Iterator[BinaryIO]:
+def _open_log(name: str) -> Iterator[BinaryIO]:
     if name == STANDARD_INPUT:
         yield sys.stdin.buffer
         return
--- a/src/ledgeladder/reports/log_lines.py
+++ b/src/ledgeladder/reports/log_lines.py
@@ -1,4 +1,4 @@
-"""Reading the JSON lines that processes logged, and counting what cannot be read."""
+"""Reads the JSON lines that processes logged, and counts unreadable ones."""
 
 from __future__ import annotations
 
@@ -11,89 +11,89 @@
     from collections.abc import Iterable, Iterator
     from typing import BinaryIO
 
-LINE_LIMIT_BYTES: Final = 1024 * 1024
-"""Longest line that is read. The longest that processes write, a path of 32 engines with its
-request, has 3 KB; longer ones are a file that is no log."""
+MAX_LINE_BYTES: Final = 1024 * 1024
+"""Maximum length of a line. Processes write far shorter ones; a longer line shows that the file is
+not a log."""
 
-JUMP_SECONDS: Final = 1.0
-"""How far the clock of a box must step back from one line to the next to count as a jump: lines are
-written in order, and a queue delays them by less."""
+CLOCK_JUMP_SECONDS: Final = 1.0
+"""Minimum backward step of a box's clock between two lines that counts as a jump. Lines are written
+in order, and queueing delays them by less."""
 
 TIME_FORMAT: Final = "%Y-%m-%d %H:%M:%S,%f"
-"""How processes write the time."""
+"""Time format of log lines."""
 
 
 class LogLine(msgspec.Struct, frozen=True, kw_only=True):
-    """One line, with what every line has."""
+    """A parsed log line."""
 
     at: float
-    """Wall clock of the box that wrote it, in seconds since 1970."""
+    """Wall clock time of the box, in seconds since 1970."""
 
     box: str
-    """Box that wrote it."""
+    """Name of the box that wrote it."""
 
     message: str
-    """What it is about."""
+    """Log message."""
 
     fields: dict[str, Any]
-    """Everything else that stands in it."""
+    """All other fields."""
 
 
 class ReadCounts(msgspec.Struct, kw_only=True):
-    """What was read and what was left out."""
+    """Counts of lines that were read and skipped."""
 
     lines: int = 0
-    """Lines that were understood."""
+    """Parsed lines."""
 
     not_json: int = 0
-    """Lines without a JSON object, or with a broken one, as at the end of a file that was cut."""
+    """Lines without a valid JSON object, such as the last line of a truncated file."""
 
     incomplete: int = 0
     """Objects without a time, a box or a message."""
 
     too_long: int = 0
-    """Lines over `LINE_LIMIT_BYTES`."""
+    """Lines longer than `MAX_LINE_BYTES`."""
 
     dropped: int = 0
-    """Lines that the processes said they left out themselves."""
+    """Lines that processes reported as dropped or sampled out."""
 
-    jumps: dict[str, int] = msgspec.field(default_factory=dict)
-    """How often the clock of each box stepped back."""
+    clock_jumps: dict[str, int] = msgspec.field(default_factory=dict)
+    """Number of backward clock jumps by box."""
 
-    newest: dict[str, float] = msgspec.field(default_factory=dict)
-    """Time of the newest line of each box."""
+    newest_at: dict[str, float] = msgspec.field(default_factory=dict)
+    """Time of the newest line by box."""
 
 
 def read_lines(stream: BinaryIO, counts: ReadCounts) -> Iterator[LogLine]:
-    """Read lines one by one; those that cannot be read are counted and passed over.
+    """Read lines one by one; count and skip those that cannot be parsed.
 
     Args:
-        stream: The lines. What stands before the first brace of a line is passed over, since
-            collectors write the time or the box there.
-        counts: Takes what was read and left out.
+        stream: The lines. Text before the first brace of a line is ignored, since log collectors
+            write the time or the box there.
+        counts: Counts of read and skipped lines, which are updated.
 
     Yields:
-        The lines, in their order.
+        The parsed lines, in order.
     """
-    for raw in _split(stream, counts):
+    for raw in _read_raw_lines(stream, counts):
         line = _parse(raw, counts)
         if line is None:
             continue
         counts.lines += 1
-        _note_clock(line, counts)
+        _record_clock(line, counts)
         yield line
 
 
-def _split(stream: BinaryIO, counts: ReadCounts) -> Iterable[bytes]:
-    """Yield the lines of a stream that are not empty, and pass over those that are too long."""
-    while raw := stream.readline(LINE_LIMIT_BYTES):
-        if len(raw) < LINE_LIMIT_BYTES or raw.endswith(b"\n"):
+def _read_raw_lines(stream: BinaryIO, counts: ReadCounts) -> Iterable[bytes]:
+    """Yield the lines of a stream, except for empty and too long ones."""
+    while raw := stream.readline(MAX_LINE_BYTES):
+        if len(raw) < MAX_LINE_BYTES or raw.endswith(b"\n"):
             if raw.strip():
                 yield raw
             continue
         counts.too_long += 1
         while raw and not raw.endswith(b"\n"):
-            raw = stream.readline(LINE_LIMIT_BYTES)
+            raw = stream.readline(MAX_LINE_BYTES)
 
 
 def _parse(raw: bytes, counts: ReadCounts) -> LogLine | None:
@@ -117,7 +117,7 @@
 
 
 def _read_time(text: Any) -> float | None:
-    """Read a time as processes write it; None if it is none.
+    """Parse the time of a log line; return None if it is malformed.
 
     >>> _read_time("1970-01-01 00:00:02,500")
     2.5
@@ -128,10 +128,10 @@
         return None
 
 
-def _note_clock(line: LogLine, counts: ReadCounts) -> None:
-    newest = counts.newest.get(line.box, line.at)
-    if line.at < newest - JUMP_SECONDS:
-        counts.jumps[line.box] = counts.jumps.get(line.box, 0) + 1
-        counts.newest[line.box] = line.at
+def _record_clock(line: LogLine, counts: ReadCounts) -> None:
+    newest = counts.newest_at.get(line.box, line.at)
+    if line.at < newest - CLOCK_JUMP_SECONDS:
+        counts.clock_jumps[line.box] = counts.clock_jumps.get(line.box, 0) + 1
+        counts.newest_at[line.box] = line.at
         return
-    counts.newest[line.box] = max(newest, line.at)
+    counts.newest_at[line.box] = max(newest, line.at)
--- a/src/ledgeladder/reports/log_report.py
+++ b/src/ledgeladder/reports/log_report.py
@@ -1,4 +1,4 @@
-"""What many lines say together: outcomes, paths, refusals and beliefs over time."""
+"""Aggregates log lines: outcomes, paths, refusals and state changes over time."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from .tables import table
+from .tables import format_table
 
 if TYPE_CHECKING:
     from .log_lines import LogLine, ReadCounts
 
-BUCKETS_LIMIT: Final = 2000
-"""Spans of time that are told apart: at 2 s each, more than an hour. Lines beyond are added up
-together, so that a clock that jumps does not fill the memory."""
+MAX_BUCKETS: Final = 2000
+"""Maximum number of time buckets, which bounds memory if a clock jumps. Lines outside are only
+counted."""
 
-NAMES_LIMIT: Final = 500
-"""Upstreams that are told apart in one table; further ones are added up as `others`."""
+MAX_NAMES: Final = 500
+"""Maximum number of upstreams in one table; further ones are summed as `others`."""
 
-ROWS_SHOWN: Final = 20
-"""Rows of tables that begin with the most frequent."""
+MAX_ROWS: Final = 20
+"""Maximum number of rows in tables that are sorted by frequency."""
 
-LONGEST_MICROSECONDS: Final = 60_000_000
-"""Longest pause that is told from longer ones."""
+MAX_MICROSECONDS: Final = 60_000_000
+"""Maximum value of histograms; longer times are recorded as this."""
 
-BELIEFS: Final = {
+STATE_CHANGE_MESSAGES: Final = {
     "engine does not answer": "engine dead",
     "engine works slowly": "engine slow",
     "links between failure domains avoided": "links avoided",
@@ -36,169 +36,175 @@
     "upstream not heard": "upstream silent",
     "probe says nothing": "own box held up",
 }
-"""Lines that tell of a change of belief, with the words for the table."""
+"""Messages that log a change of state as seen by a box, with their column headers."""
 
 
-def _pauses() -> HdrHistogram:
-    return HdrHistogram(100, LONGEST_MICROSECONDS, 2)
+def _new_histogram() -> HdrHistogram:
+    return HdrHistogram(100, MAX_MICROSECONDS, 2)
 
 
-class PathKind(msgspec.Struct, kw_only=True):
-    """Streams whose paths cross the same number of times between failure domains."""
+class PathStats(msgspec.Struct, kw_only=True):
+    """Statistics of streams with the same number of inter-domain hops on their paths."""
 
     streams: int = 0
-    """Streams that were answered whole."""
+    """Completed streams."""
 
-    broken: int = 0
-    """Streams that ended otherwise after they were sent."""
+    not_completed: int = 0
+    """Streams that were sent but not completed."""
 
     engines: int = 0
-    """Sum of the engines on their paths."""
+    """Total number of engines on the paths of completed streams."""
 
-    first_events: HdrHistogram = msgspec.field(default_factory=_pauses)
+    first_event_times: HdrHistogram = msgspec.field(default_factory=_new_histogram)
     """Times to the first event, in microseconds."""
 
-    pauses: HdrHistogram = msgspec.field(default_factory=_pauses)
-    """Longest pause of each, in microseconds."""
+    longest_gaps: HdrHistogram = msgspec.field(default_factory=_new_histogram)
+    """Longest gap between events of each stream, in microseconds."""
 
 
 class LogReport(msgspec.Struct, kw_only=True):
-    """Sums over the lines read so far."""
+    """Aggregates of the lines read so far."""
 
     bucket_seconds: float = 2.0
-    """Length of the spans of time that are told apart."""
+    """Length of a time bucket, in seconds."""
 
-    began: float | None = None
-    """Start of the first span, in seconds since 1970."""
+    started_at: float | None = None
+    """Start of the first bucket, in seconds since 1970; None before the first line."""
 
     outcomes: dict[int, Counter[str]] = msgspec.field(default_factory=dict)
-    """Requests by span and outcome."""
+    """Requests by bucket and outcome."""
 
-    beliefs: dict[int, Counter[str]] = msgspec.field(default_factory=dict)
-    """Changes of belief by span and kind."""
+    state_changes: dict[int, Counter[str]] = msgspec.field(default_factory=dict)
+    """State changes by bucket and kind."""
 
-    paths: dict[int, PathKind] = msgspec.field(default_factory=dict)
-    """Streams by the crossings of their last path."""
+    paths: dict[int, PathStats] = msgspec.field(default_factory=dict)
+    """Streams by the number of inter-domain hops on their last path."""
 
     refusals: Counter[str] = msgspec.field(default_factory=Counter)
-    """Refused runs by the upstream that refused."""
+    """Refused attempts by upstream."""
 
-    limited: dict[int, Counter[str]] = msgspec.field(default_factory=dict)
-    """Requests that all boxes sent to upstreams with a limit, by span and upstream."""
+    rate_limited: dict[int, Counter[str]] = msgspec.field(default_factory=dict)
+    """Requests that all boxes sent to rate-limited upstreams, by bucket and upstream."""
 
-    limited_boxes: Counter[tuple[str, str]] = msgspec.field(default_factory=Counter)
-    """The same by upstream and box."""
+    rate_limited_by_box: Counter[tuple[str, str]] = msgspec.field(default_factory=Counter)
+    """Requests sent to rate-limited upstreams, by upstream and box."""
 
-    run_ends: Counter[str] = msgspec.field(default_factory=Counter)
-    """Runs of streams that did not complete, by how they ended."""
+    attempt_ends: Counter[str] = msgspec.field(default_factory=Counter)
+    """Stream attempts that did not complete, by result."""
 
     overflow: int = 0
-    """Lines outside of the spans that are told apart."""
+    """Lines outside of the buckets."""
 
 
 def add_line(report: LogReport, line: LogLine) -> None:
-    """Take in one line; lines that no table needs are passed over."""
+    """Add a line to the report; ignore lines that no table uses."""
     if line.message == "request":
         _add_request(report, line)
     elif line.message == "run ended early":
-        _add_run(report, line.fields)
+        _add_attempt(report, line.fields)
     elif line.message == "sent under a limit":
-        _add_limited(report, line)
-    elif line.message in BELIEFS:
-        _count(report, report.beliefs, line.at, BELIEFS[line.message])
+        _add_rate_limited(report, line)
+    elif line.message in STATE_CHANGE_MESSAGES:
+        _count(report, report.state_changes, line.at, STATE_CHANGE_MESSAGES[line.message])
 
 
 def _count(
-    report: LogReport, table_of: dict[int, Counter[str]], at: float, name: str, count: int = 1
+    report: LogReport, buckets: dict[int, Counter[str]], at: float, name: str, count: int = 1
 ) -> None:
-    if report.began is None:
-        report.began = at - at % report.bucket_seconds
-    index = int((at - report.began) // report.bucket_seconds)
-    if index not in table_of and len(table_of) >= BUCKETS_LIMIT:
+    if report.started_at is None:
+        report.started_at = at - at % report.bucket_seconds
+    index = int((at - report.started_at) // report.bucket_seconds)
+    if index not in buckets and len(buckets) >= MAX_BUCKETS:
         report.overflow += 1
         return
-    table_of.setdefault(index, Counter())[name] += count
+    buckets.setdefault(index, Counter())[name] += count
 
 
 def _add_request(report: LogReport, line: LogLine) -> None:
     outcome = str(line.fields.get("outcome", "?")).split(":")[0]
     _count(report, report.outcomes, line.at, outcome)
-    crossings = line.fields.get("crossings")
-    if not isinstance(crossings, int):
+    hops = line.fields.get("crossings")
+    if not isinstance(hops, int):
         return
-    kind = report.paths.setdefault(min(max(crossings, 0), 32), PathKind())
+    stats = report.paths.setdefault(min(max(hops, 0), 32), PathStats())
     if outcome != "answered":
-        kind.broken += 1
+        stats.not_completed += 1
         return
-    kind.streams += 1
-    kind.engines += len(_list(line.fields.get("path")))
-    _record(kind.first_events, line.fields.get("first_event"))
-    _record(kind.pauses, line.fields.get("longest_gap"))
+    stats.streams += 1
+    stats.engines += len(_as_list(line.fields.get("path")))
+    _record_seconds(stats.first_event_times, line.fields.get("first_event"))
+    _record_seconds(stats.longest_gaps, line.fields.get("longest_gap"))
 
 
-def _record(histogram: HdrHistogram, seconds: Any) -> None:
+def _record_seconds(histogram: HdrHistogram, seconds: Any) -> None:
     if isinstance(seconds, int | float):
-        histogram.record_value(min(max(int(seconds * 1e6), 100), LONGEST_MICROSECONDS))
+        histogram.record_value(min(max(int(seconds * 1e6), 100), MAX_MICROSECONDS))
 
 
-def _add_run(report: LogReport, fields: dict[str, Any]) -> None:
+def _add_attempt(report: LogReport, fields: dict[str, Any]) -> None:
     end, detail = str(fields.get("end", "?")), str(fields.get("detail", ""))
-    report.run_ends[end] += 1
+    report.attempt_ends[end] += 1
     if end != "refused":
         return
     upstream = detail.rpartition(" ")[2] or "?"
-    if upstream not in report.refusals and len(report.refusals) >= NAMES_LIMIT:
+    if upstream not in report.refusals and len(report.refusals) >= MAX_NAMES:
         upstream = "others"
     report.refusals[upstream] += 1
 
 
-def _add_limited(report: LogReport, line: LogLine) -> None:
+def _add_rate_limited(report: LogReport, line: LogLine) -> None:
     upstream, sent = str(line.fields.get("upstream", "?")), line.fields.get("sent")
     if not isinstance(sent, int):
         return
-    place = (upstream, line.box)
-    if place not in report.limited_boxes and len(report.limited_boxes) >= NAMES_LIMIT:
-        upstream, place = "others", ("others", "others")
-    _count(report, report.limited, line.at, upstream, sent)
-    report.limited_boxes[place] += sent
+    key = (upstream, line.box)
+    if key not in report.rate_limited_by_box and len(report.rate_limited_by_box) >= MAX_NAMES:
+        upstream, key = "others", ("others", "others")
+    _count(report, report.rate_limited, line.at, upstream, sent)
+    report.rate_limited_by_box[key] += sent
 
 
-def _list(value: Any) -> list[Any]:
+def _as_list(value: Any) -> list[Any]:
     return value if isinstance(value, list) else []
 
 
-def write_report(report: LogReport, counts: ReadCounts) -> list[str]:
-    """Lay the report out as text.
+def format_report(report: LogReport, counts: ReadCounts) -> list[str]:
+    """Format the report as text.
 
     Args:
-        report: The sums.
-        counts: What was read and left out.
+        report: The report.
+        counts: Counts of read and skipped lines.
 
     Returns:
-        Lines.
+        Lines of text.
     """
     sections = [
-        _written_counts(report, counts),
-        _over_time("Requests by outcome", report, report.outcomes),
-        _over_time("Changes of belief", report, report.beliefs),
-        _written_paths(report),
-        table("Runs of streams that did not complete", ["end", "runs"], _most(report.run_ends)),
-        table("Refused runs by upstream", ["upstream", "runs"], _most(report.refusals)),
-        _over_time("Requests sent under a limit, by all boxes", report, report.limited),
-        table(
+        _format_counts(report, counts),
+        _format_over_time("Requests by outcome", report, report.outcomes),
+        _format_over_time("Changes of belief", report, report.state_changes),
+        _format_paths(report),
+        format_table(
+            "Runs of streams that did not complete",
+            ["end", "runs"],
+            _most_common_rows(report.attempt_ends),
+        ),
+        format_table(
+            "Refused runs by upstream", ["upstream", "runs"], _most_common_rows(report.refusals)
+        ),
+        _format_over_time("Requests sent under a limit, by all boxes", report, report.rate_limited),
+        format_table(
             "Requests sent under a limit, by box",
             ["upstream", "box", "requests"],
-            [(*place, count) for place, count in report.limited_boxes.most_common(ROWS_SHOWN)],
+            [(*key, count) for key, count in report.rate_limited_by_box.most_common(MAX_ROWS)],
         ),
     ]
     return [line for section in sections for line in [*section, ""]][:-1]
 
 
-def _most(counter: Counter[str]) -> list[tuple[str, int]]:
-    return counter.most_common(ROWS_SHOWN)
+def _most_common_rows(counter: Counter[str]) -> list[tuple[str, int]]:
+    return counter.most_common(MAX_ROWS)
 
 
-def _written_counts(report: LogReport, counts: ReadCounts) -> list[str]:
+def _format_counts(report: LogReport, counts: ReadCounts) -> list[str]:
     left_out = {
         "not JSON or cut": counts.not_json,
         "without time, box or message": counts.incomplete,
@@ -207,35 +213,37 @@
         "outside of the spans shown": report.overflow,
     }
     text = ", ".join(f"{count} {name}" for name, count in left_out.items() if count)
-    lines = [f"{counts.lines} lines of {len(counts.newest)} boxes; {text or 'nothing left out'}"]
-    lines += [f"clock of {box} stepped back {times} times" for box, times in counts.jumps.items()]
+    lines = [f"{counts.lines} lines of {len(counts.newest_at)} boxes; {text or 'nothing left out'}"]
+    lines += [
+        f"clock of {box} stepped back {times} times" for box, times in counts.clock_jumps.items()
+    ]
     return lines
 
 
-def _over_time(title: str, report: LogReport, spans: dict[int, Counter[str]]) -> list[str]:
+def _format_over_time(title: str, report: LogReport, buckets: dict[int, Counter[str]]) -> list[str]:
     total: Counter[str] = Counter()
-    for counter in spans.values():
+    for counter in buckets.values():
         total.update(counter)
     names = [name for name, _count in total.most_common()]
     rows = [
-        [f"{index * report.bucket_seconds:g}", *(spans[index][name] for name in names)]
-        for index in sorted(spans)
+        [f"{index * report.bucket_seconds:g}", *(buckets[index][name] for name in names)]
+        for index in sorted(buckets)
     ]
-    return table(title, ["second", *names], rows)
+    return format_table(title, ["second", *names], rows)
 
 
-def _written_paths(report: LogReport) -> list[str]:
+def _format_paths(report: LogReport) -> list[str]:
     rows = [
         [
-            crossings,
-            kind.streams,
-            kind.broken,
-            kind.engines / max(1, kind.streams),
-            kind.first_events.get_value_at_percentile(50) / 1e6,
-            kind.pauses.get_value_at_percentile(50) / 1e6,
-            kind.pauses.get_value_at_percentile(95) / 1e6,
+            hops,
+            stats.streams,
+            stats.not_completed,
+            stats.engines / max(1, stats.streams),
+            stats.first_event_times.get_value_at_percentile(50) / 1e6,
+            stats.longest_gaps.get_value_at_percentile(50) / 1e6,
+            stats.longest_gaps.get_value_at_percentile(95) / 1e6,
         ]
-        for crossings, kind in sorted(report.paths.items())
+        for hops, stats in sorted(report.paths.items())
     ]
-    heads = ["crossings", "whole", "other", "engines", "first p50", "pause p50", "pause p95"]
-    return table("Streams by crossings between failure domains, seconds", heads, rows)
+    headers = ["crossings", "whole", "other", "engines", "first p50", "pause p50", "pause p95"]
+    return format_table("Streams by crossings between failure domains, seconds", headers, rows)
--- a/src/ledgeladder/reports/plots.py
+++ b/src/ledgeladder/reports/plots.py
@@ -1,4 +1,4 @@
-"""Plots of a report, written to files."""
+"""Draws plots of a report and writes them to files."""
 
 from __future__ import annotations
 
@@ -10,44 +10,44 @@
 
     from .log_report import LogReport
 
-SIZE_INCHES: Final = (10.0, 4.0)
-"""Width and height of a plot."""
+FIGURE_SIZE_INCHES: Final = (10.0, 4.0)
+"""Width and height of a plot, in inches."""
 
 
 def write_plots(report: LogReport, folder: Path) -> list[Path]:
-    """Draw requests and changes of belief over time.
+    """Plot requests and state changes over time.
 
     Args:
-        report: The sums.
-        folder: Where the files go; it is made if it is not there.
+        report: The report.
+        folder: Output folder; it is created if missing.
 
     Returns:
-        The files.
+        Paths of the files.
 
     Raises:
-        ImportError: If matplotlib is not installed; it is an optional extra, `plots`.
+        ImportError: If matplotlib, from the optional extra `plots`, is not installed.
     """
-    # Imported late: the tables need none of it.
+    # Imported here because tables do not need it.
     import matplotlib
 
     matplotlib.use("Agg")
     folder.mkdir(parents=True, exist_ok=True)
-    plots = {"requests": report.outcomes, "beliefs": report.beliefs}
-    return [_write(report, folder / f"{name}.png", spans) for name, spans in plots.items()]
+    plots = {"requests": report.outcomes, "beliefs": report.state_changes}
+    return [_write_plot(report, folder / f"{name}.png", buckets) for name, buckets in plots.items()]
 
 
-def _write(report: LogReport, path: Path, spans: dict[int, Counter[str]]) -> Path:
+def _write_plot(report: LogReport, path: Path, buckets: dict[int, Counter[str]]) -> Path:
     from matplotlib import pyplot
 
-    figure, axes = pyplot.subplots(figsize=SIZE_INCHES)
-    indexes = sorted(spans)
+    figure, axes = pyplot.subplots(figsize=FIGURE_SIZE_INCHES)
+    indexes = sorted(buckets)
     seconds = [index * report.bucket_seconds for index in indexes]
-    names = sorted({name for counter in spans.values() for name in counter})
-    floor = [0] * len(indexes)
+    names = sorted({name for counter in buckets.values() for name in counter})
+    bottoms = [0] * len(indexes)
     for name in names:
-        counts = [spans[index][name] for index in indexes]
-        axes.bar(seconds, counts, report.bucket_seconds, bottom=floor, label=name, align="edge")
-        floor = [low + count for low, count in zip(floor, counts, strict=True)]
+        counts = [buckets[index][name] for index in indexes]
+        axes.bar(seconds, counts, report.bucket_seconds, bottom=bottoms, label=name, align="edge")
+        bottoms = [bottom + count for bottom, count in zip(bottoms, counts, strict=True)]
     axes.set_xlabel("seconds since the first line")
     axes.set_title(path.stem)
     if names:
--- a/src/ledgeladder/reports/tables.py
+++ b/src/ledgeladder/reports/tables.py
@@ -1,4 +1,4 @@
-"""Plain text tables for a terminal."""
+"""Plain text tables for terminals."""
 
 from __future__ import annotations
 
@@ -7,43 +7,44 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-GAP: Final = "  "
-"""What stands between two columns."""
+COLUMN_GAP: Final = "  "
+"""Separator between two columns."""
 
 
-def table(title: str, heads: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
-    """Lay out a table; numbers stand to the right, texts to the left.
+def format_table(title: str, headers: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
+    """Format a table, with numeric columns aligned right and text columns aligned left.
 
     Args:
         title: Line above the table.
-        heads: Names of the columns.
-        rows: Cells, as many in each row as there are names.
+        headers: Names of the columns.
+        rows: Cells; each row has one for each column.
 
     Returns:
-        Lines; the title and a remark if there are no rows.
+        Lines of text; the title and `(none)` if there are no rows.
 
-    >>> table("Boxes", ["box", "lines"], [["a-1", 12]])
+    >>> format_table("Boxes", ["box", "lines"], [["a-1", 12]])
     ['Boxes', 'box  lines', 'a-1     12']
     """
     if not rows:
         return [title, "(none)"]
-    cells = [[_write(cell) for cell in row] for row in rows]
+    cells = [[_format_cell(cell) for cell in row] for row in rows]
     widths = [
-        max(len(head), *(len(row[index]) for row in cells)) for index, head in enumerate(heads)
+        max(len(header), *(len(row[index]) for row in cells))
+        for index, header in enumerate(headers)
     ]
     is_number = [
-        all(isinstance(row[index], int | float) for row in rows) for index in range(len(heads))
+        all(isinstance(row[index], int | float) for row in rows) for index in range(len(headers))
     ]
 
-    def lay(row: Sequence[str]) -> str:
+    def format_row(row: Sequence[str]) -> str:
         padded = [
-            cell.rjust(width) if right else cell.ljust(width)
-            for cell, width, right in zip(row, widths, is_number, strict=True)
+            cell.rjust(width) if is_right else cell.ljust(width)
+            for cell, width, is_right in zip(row, widths, is_number, strict=True)
         ]
-        return GAP.join(padded).rstrip()
+        return COLUMN_GAP.join(padded).rstrip()
 
-    return [title, lay(heads), *map(lay, cells)]
+    return [title, format_row(headers), *map(format_row, cells)]
 
 
-def _write(cell: object) -> str:
+def _format_cell(cell: object) -> str:
     return f"{cell:.3f}" if isinstance(cell, float) else str(cell)
--- a/tests/reports/test_log_lines.py
+++ b/tests/reports/test_log_lines.py
@@ -1,4 +1,4 @@
-"""Reading logs that are cut, mixed, or no logs at all."""
+"""Reading of log files that are truncated, mixed or not logs at all."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import json
 
 from ledgeladder.reports import LogLine, ReadCounts, read_lines
-from ledgeladder.reports.log_lines import LINE_LIMIT_BYTES
+from ledgeladder.reports.log_lines import MAX_LINE_BYTES
 
 
 def line(
@@ -21,17 +21,17 @@
     return list(read_lines(io.BytesIO(b"".join(lines)), counts)), counts
 
 
-def test_lines_are_read_whatever_a_collector_writes_before_them() -> None:
-    read_back, counts = read(b"  12.5 a-1 " + line(outcome="answered"), line(box="b-1"))
-    assert [item.box for item in read_back] == ["a-1", "b-1"]
-    assert read_back[0].fields == {"outcome": "answered"}
+def test_prefixes_of_log_collectors_are_ignored() -> None:
+    parsed, counts = read(b"  12.5 a-1 " + line(outcome="answered"), line(box="b-1"))
+    assert [item.box for item in parsed] == ["a-1", "b-1"]
+    assert parsed[0].fields == {"outcome": "answered"}
     assert counts.lines == 2
 
 
-def test_cut_lines_and_other_text_are_counted_and_passed_over() -> None:
+def test_truncated_lines_and_other_text_are_counted_and_skipped() -> None:
     whole = line()
-    read_back, counts = read(whole[:40] + b"\n", b"no json\n", b"\n", b"[1]\n", whole, whole[:-5])
-    assert len(read_back) == 1
+    parsed, counts = read(whole[:40] + b"\n", b"no json\n", b"\n", b"[1]\n", whole, whole[:-5])
+    assert len(parsed) == 1
     assert counts.not_json == 4
 
 
@@ -44,13 +44,13 @@
     assert counts.incomplete == 3
 
 
-def test_line_without_end_is_passed_over_and_the_next_one_is_read() -> None:
-    read_back, counts = read(b"x" * (3 * LINE_LIMIT_BYTES) + b"\n", line())
-    assert len(read_back) == 1
+def test_too_long_line_is_skipped_and_the_next_one_is_read() -> None:
+    parsed, counts = read(b"x" * (3 * MAX_LINE_BYTES) + b"\n", line())
+    assert len(parsed) == 1
     assert counts.too_long == 1
 
 
-def test_clocks_that_step_back_are_told_by_box() -> None:
+def test_backward_clock_jumps_are_counted_by_box() -> None:
     _, counts = read(
         line("12:00:10,000"),
         line("12:00:09,900"),
@@ -58,9 +58,9 @@
         line("12:00:01,000", box="b-1"),
         line("12:00:02,500"),
     )
-    assert counts.jumps == {"a-1": 1}
+    assert counts.clock_jumps == {"a-1": 1}
 
 
-def test_what_the_processes_left_out_is_added_up() -> None:
+def test_lines_dropped_by_processes_are_summed() -> None:
     _, counts = read(line(lines_dropped=3), line(lines_sampled_out=4))
     assert counts.dropped == 7
--- a/tests/reports/test_log_report.py
+++ b/tests/reports/test_log_report.py
@@ -1,4 +1,4 @@
-"""Tables over many lines, and the course of one request."""
+"""Tables of aggregated log lines, and the timeline of one request."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
     LogLine,
     LogReport,
     ReadCounts,
-    RequestCourse,
-    add_course_line,
+    RequestTimeline,
     add_line,
-    write_course,
-    write_report,
+    add_to_timeline,
+    format_report,
+    format_timeline,
 )
-from ledgeladder.reports.log_report import BUCKETS_LIMIT, NAMES_LIMIT
-from ledgeladder.reports.request_course import LINES_LIMIT
+from ledgeladder.reports.log_report import MAX_BUCKETS, MAX_NAMES
+from ledgeladder.reports.request_timeline import MAX_LINES
 
 
 def line(at: float, message: str, box: str = "a-1", **fields: Any) -> LogLine:
@@ -41,100 +41,101 @@
         0: {"answered": 1, "NO_ROUTE": 1},
         2: {"answered": 1},
     }
-    text = write_report(report, ReadCounts(lines=3))
+    text = format_report(report, ReadCounts(lines=3))
     assert "second  answered  NO_ROUTE" in text
     assert "4              1         0" in text
 
 
-def test_requests_under_a_limit_are_summed_over_boxes_and_told_by_box() -> None:
-    """What tells afterwards how many requests an upstream got that takes so many a second."""
+def test_requests_under_a_rate_limit_are_summed_and_listed_by_box() -> None:
+    """The sums show whether all boxes together kept to the rate limit of an upstream."""
     report = report_of(
         line(100.0, "sent under a limit", box="a-1", upstream="i", rate=2.0, sent=2, lent=3),
         line(101.0, "sent under a limit", box="a-2", upstream="i", rate=2.0, sent=1, lent=1),
         line(102.5, "sent under a limit", box="a-1", upstream="i", rate=2.0, sent=4, lent=4),
         line(102.5, "sent under a limit", box="a-1", upstream="i", sent="many"),
     )
-    assert {index: dict(found) for index, found in report.limited.items()} == {
+    assert {index: dict(found) for index, found in report.rate_limited.items()} == {
         0: {"i": 3},
         1: {"i": 4},
     }
-    assert dict(report.limited_boxes) == {("i", "a-1"): 6, ("i", "a-2"): 1}
-    text = "\n".join(write_report(report, ReadCounts(lines=4)))
+    assert dict(report.rate_limited_by_box) == {("i", "a-1"): 6, ("i", "a-2"): 1}
+    text = "\n".join(format_report(report, ReadCounts(lines=4)))
     assert "Requests sent under a limit, by box" in text
 
 
-def test_limited_upstreams_beyond_a_number_are_added_up() -> None:
+def test_rate_limited_upstreams_beyond_the_maximum_are_summed() -> None:
     lines = [
         line(100.0, "sent under a limit", upstream=f"i-{number}", sent=1)
-        for number in range(NAMES_LIMIT + 10)
+        for number in range(MAX_NAMES + 10)
     ]
     report = report_of(*lines)
-    assert len(report.limited_boxes) == NAMES_LIMIT + 1
-    assert report.limited_boxes["others", "others"] == 10
+    assert len(report.rate_limited_by_box) == MAX_NAMES + 1
+    assert report.rate_limited_by_box["others", "others"] == 10
 
 
-def test_pauses_are_told_by_crossings() -> None:
+def test_gaps_are_listed_by_inter_domain_hops() -> None:
     fields = {"outcome": "answered", "path": ["i=0-80"], "first_event": 0.1}
     report = report_of(
         line(1.0, "request", crossings=0, longest_gap=0.05, **fields),
         line(1.0, "request", crossings=2, longest_gap=0.5, **fields),
         line(1.0, "request", crossings=2, outcome="broken-off"),
     )
-    assert report.paths[0].pauses.get_value_at_percentile(50) == pytest.approx(50_000, rel=0.02)
-    assert report.paths[2].pauses.get_value_at_percentile(50) == pytest.approx(500_000, rel=0.02)
-    assert (report.paths[2].streams, report.paths[2].broken) == (1, 1)
+    assert report.paths[0].longest_gaps.get_value_at_percentile(50) == pytest.approx(
+        50_000, rel=0.02
+    )
+    assert report.paths[2].longest_gaps.get_value_at_percentile(50) == pytest.approx(
+        500_000, rel=0.02
+    )
+    assert (report.paths[2].streams, report.paths[2].not_completed) == (1, 1)
 
 
-def test_refusals_are_counted_by_the_upstream_that_refused_up_to_a_limit() -> None:
+def test_refusals_are_counted_by_upstream_up_to_a_maximum() -> None:
     ended = {"end": "refused"}
     report = report_of(
         line(1.0, "run ended early", detail="status 503 at i-1", **ended),
         line(1.0, "run ended early", detail="status 503 at i-1", **ended),
         line(1.0, "run ended early", end="lost", detail="silent for 1.00 s"),
-        *(
-            line(1.0, "run ended early", detail=f"at i-{n}", **ended)
-            for n in range(2 * NAMES_LIMIT)
-        ),
+        *(line(1.0, "run ended early", detail=f"at i-{n}", **ended) for n in range(2 * MAX_NAMES)),
     )
     assert report.refusals["i-1"] == 3
-    assert report.run_ends == {"refused": 2 + 2 * NAMES_LIMIT, "lost": 1}
-    assert len(report.refusals) <= NAMES_LIMIT + 1
+    assert report.attempt_ends == {"refused": 2 + 2 * MAX_NAMES, "lost": 1}
+    assert len(report.refusals) <= MAX_NAMES + 1
     assert report.refusals["others"] > 0
 
 
-def test_times_far_apart_do_not_fill_the_memory() -> None:
+def test_number_of_time_buckets_is_bounded() -> None:
     report = report_of(
-        *(line(1000.0 * n, "engine does not answer") for n in range(BUCKETS_LIMIT + 5))
+        *(line(1000.0 * n, "engine does not answer") for n in range(MAX_BUCKETS + 5))
     )
-    assert len(report.beliefs) == BUCKETS_LIMIT
+    assert len(report.state_changes) == MAX_BUCKETS
     assert report.overflow == 5
-    assert "5 outside of the spans shown" in write_report(report, ReadCounts())[0]
+    assert "5 outside of the spans shown" in format_report(report, ReadCounts())[0]
 
 
-def test_fields_of_wrong_types_are_passed_over() -> None:
+def test_fields_of_wrong_types_are_ignored() -> None:
     report = report_of(
         line(1.0, "request", outcome=7, crossings="many", path=3),
         line(1.0, "request", outcome="answered", crossings=-4, path=3, first_event="x"),
         line(1.0, "run ended early", end=None, detail=["x"]),
     )
-    assert write_report(report, ReadCounts())
+    assert format_report(report, ReadCounts())
 
 
 def test_empty_logs_give_empty_tables() -> None:
-    text = write_report(LogReport(), ReadCounts())
+    text = format_report(LogReport(), ReadCounts())
     assert text[0] == "0 lines of 0 boxes; nothing left out"
     assert "(none)" in text
 
 
-def test_course_of_a_request_is_in_the_order_of_time_over_all_boxes() -> None:
-    course = RequestCourse(request="r")
+def test_timeline_of_a_request_is_ordered_by_time_over_all_boxes() -> None:
+    timeline = RequestTimeline(request="r")
     for item in (
         line(5.5, "request", request="r", outcome="answered"),
         line(5.0, "run ended early", "b-1", request="r", end="refused"),
         line(5.2, "request", request="other"),
     ):
-        add_course_line(course, item)
-    text = write_course(course)
+        add_to_timeline(timeline, item)
+    text = format_timeline(timeline)
     assert text == [
         "request r",
         '+0.000 s  b-1  run ended early  {"end": "refused"}',
@@ -142,13 +143,13 @@
     ]
 
 
-def test_id_that_is_used_without_end_does_not_fill_the_memory() -> None:
-    course = RequestCourse(request="r")
-    for number in range(LINES_LIMIT + 3):
-        add_course_line(course, line(float(number), "request", request="r"))
-    assert len(course.lines) == LINES_LIMIT
-    assert write_course(course)[-1] == "3 further lines left out"
+def test_lines_of_a_reused_request_id_are_bounded() -> None:
+    timeline = RequestTimeline(request="r")
+    for number in range(MAX_LINES + 3):
+        add_to_timeline(timeline, line(float(number), "request", request="r"))
+    assert len(timeline.lines) == MAX_LINES
+    assert format_timeline(timeline)[-1] == "3 further lines left out"
 
 
-def test_request_that_is_not_in_the_logs_is_said_so() -> None:
-    assert write_course(RequestCourse(request="r")) == ["no line of request r"]
+def test_unknown_request_gives_a_message() -> None:
+    assert format_timeline(RequestTimeline(request="r")) == ["no line of request r"]
