--- a/src/ledgeladder/cli/__init__.py
+++ b/src/ledgeladder/cli/__init__.py
@@ -1,3 +1,3 @@
-"""The command line."""
+"""The `ledgeladder` command line."""
 
 from __future__ import annotations
--- a/src/ledgeladder/cli/change_file.py
+++ b/src/ledgeladder/cli/change_file.py
@@ -1,4 +1,4 @@
-"""Change files: the objects of a configuration in TOML."""
+"""Change files: configuration objects in TOML."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 ) -> Result[ChangeDocument, Problem]:
     """Read a change file.
 
-    Two conveniences are resolved here: an account may carry `key` in place of `key_sha256`, and a
-    policy `source_file` in place of `source`, relative to the change file.
+    An account may have `key` instead of `key_sha256`, and a policy may have `source_file`, relative
+    to the change file, instead of `source`. Both are resolved here.
 
     Args:
         path: The file.
-        change_id: Id to give the change.
-        base_version: Version that it is made against.
+        change_id: Id of the change.
+        base_version: Version that the change is based on.
 
     Returns:
-        The change, or a problem that names the wrong keys.
+        The change, or a problem with all wrong keys.
     """
     return read_toml(path).bind(
         lambda content: _check(path, content, change_id=change_id, base_version=base_version)
--- a/src/ledgeladder/cli/config_commands.py
+++ b/src/ledgeladder/cli/config_commands.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from ..model import ChangeDocument
 
-WAIT_POLL_SECONDS: Final = 0.2
+POLL_INTERVAL_SECONDS: Final = 0.2
 
 
 def apply_file(
@@ -29,14 +29,14 @@
     """Submit a change file.
 
     Args:
-        client: Where to submit it.
+        client: Client for the control boxes.
         path: The file.
-        change_id: Id of the change; empty for a new one. Resending under the same id is safe.
-        base_version: Version it was made against; below 0 for the current one.
-        wait_seconds: How long to wait until the change is in force on every box; 0 not to wait.
+        change_id: Id of the change; empty for a new one. Resubmitting under the same id is safe.
+        base_version: Version that the change is based on; negative for the current one.
+        wait_seconds: Maximum time to wait until the change is in force on every box; 0 to not wait.
 
     Returns:
-        What became of it.
+        The answer of the leader and, if waited, the boxes that have the change; or the problem.
     """
     if base_version < 0:
         current = call(client, "GET", "/v1/status")
@@ -57,37 +57,37 @@
     if isinstance(outcome, Failure) or not wait_seconds:
         return outcome
     answer = outcome.unwrap()
-    return Success(answer | wait_in_force(client, int(answer["version"]), wait_seconds))
+    return Success(answer | wait_until_in_force(client, int(answer["version"]), wait_seconds))
 
 
-def wait_in_force(client: OperatorClient, version: int, seconds: float) -> dict[str, Any]:
+def wait_until_in_force(client: OperatorClient, version: int, seconds: float) -> dict[str, Any]:
     """Wait until every connected box has a version in force.
 
     Args:
-        client: Where to ask.
+        client: Client for the control boxes.
         version: The version.
-        seconds: When to give up.
+        seconds: Timeout.
 
     Returns:
-        Seconds waited, the boxes that have it, and those that were not seen to.
+        The time waited, the boxes with the version in force, and those without confirmation.
     """
     started = time.monotonic()
     while True:
         status = call(client, "GET", "/v1/status")
         boxes = status.unwrap()["boxes"] if isinstance(status, Success) else {}
-        behind = sorted(name for name, box in boxes.items() if box["version"] < version)
+        outdated = sorted(name for name, box in boxes.items() if box["version"] < version)
         waited = time.monotonic() - started
-        if (boxes and not behind) or waited > seconds:
+        if (boxes and not outdated) or waited > seconds:
             return {
                 "waited_seconds": round(waited, 3),
-                "in_force": sorted(set(boxes) - set(behind)),
-                "not_confirmed": behind,
+                "in_force": sorted(set(boxes) - set(outdated)),
+                "not_confirmed": outdated,
             }
-        time.sleep(WAIT_POLL_SECONDS)
+        time.sleep(POLL_INTERVAL_SECONDS)
 
 
 def validate_file(path: Path) -> Result[dict[str, Any], Problem]:
-    """Check a change file as if it were applied to an empty configuration, without a server."""
+    """Validate a change file against an empty configuration, without a server."""
     return read_change(path, change_id="validation", base_version=0).bind(_validate)
 
 
@@ -96,27 +96,29 @@
     problems = find_problems(configuration)
     if problems:
         return Failure(Problem(code=ResultCode.CHANGE_INVALID, detail="\n".join(problems)))
-    bad_policies = validate_policies(configuration)
-    if bad_policies:
-        detail = "\n".join(problem.detail for problem in bad_policies)
+    policy_problems = validate_policies(configuration)
+    if policy_problems:
+        detail = "\n".join(problem.detail for problem in policy_problems)
         return Failure(Problem(code=ResultCode.POLICY_INVALID, detail=detail))
     return Success({"valid": True})
 
 
 def show(client: OperatorClient) -> Result[dict[str, Any], Problem]:
-    """Return the configuration."""
+    """Fetch the configuration."""
     return call(client, "GET", "/v1/configuration")
 
 
 def history(client: OperatorClient) -> Result[dict[str, Any], Problem]:
-    """Return the accepted changes."""
-    audit = call(client, "GET", "/v1/audit")
-    if isinstance(audit, Failure):
-        return audit
-    accepted = [entry for entry in audit.unwrap()["entries"] if entry["code"] == int(ResultCode.OK)]
+    """Fetch the accepted changes."""
+    answer = call(client, "GET", "/v1/audit")
+    if isinstance(answer, Failure):
+        return answer
+    accepted = [
+        entry for entry in answer.unwrap()["entries"] if entry["code"] == int(ResultCode.OK)
+    ]
     return Success({"entries": accepted})
 
 
 def print_json(value: dict[str, Any]) -> None:
-    """Print an answer."""
+    """Print an answer as indented JSON."""
     print(json.dumps(value, indent=2, ensure_ascii=False))
--- a/src/ledgeladder/cli/main.py
+++ b/src/ledgeladder/cli/main.py
@@ -84,7 +84,7 @@
     return EXIT_USAGE
 
 
-def _print(outcome: Result[dict[str, Any], Problem]) -> int:
+def _print_result(outcome: Result[dict[str, Any], Problem]) -> int:
     from . import config_commands
 
     if isinstance(outcome, Failure):
@@ -94,7 +94,7 @@
 
 
 def _operator_client() -> OperatorClient | None:
-    # Imported late, as all of the operators' side: daemons should not pay for its libraries.
+    # Operator modules are imported where used, which keeps their libraries out of daemons.
     from .operator_client import OperatorClient
 
     token = os.environ.get(TOKEN_VARIABLE, "")
@@ -105,17 +105,17 @@
     return OperatorClient(addresses=tuple(FLAGS.controls), token=token)
 
 
-def _named_settings() -> Path | None:
+def _settings_option() -> Path | None:
     return None if FLAGS.settings is None else Path(FLAGS.settings)
 
 
 def _run_entry(arguments: list[str]) -> int:
-    # Imported late: operator commands need no server.
+    # Imported here because operator commands do not need the server.
     from ..daemons.entry import run_entry
 
-    loaded = load_settings(load_entry_settings, _named_settings())
+    loaded = load_settings(load_entry_settings, _settings_option())
     if isinstance(loaded, Failure) or arguments:
-        return _bad_settings(loaded)
+        return _settings_error(loaded)
     anyio.run(run_entry, loaded.unwrap(), backend_options=LOOP_OPTIONS)
     return EXIT_OK
 
@@ -123,9 +123,9 @@
 def _run_control(arguments: list[str]) -> int:
     from ..daemons.control.main import format_folder, run_control
 
-    loaded = load_settings(load_control_settings, _named_settings())
+    loaded = load_settings(load_control_settings, _settings_option())
     if isinstance(loaded, Failure) or arguments not in ([], ["format"]):
-        return _bad_settings(loaded)
+        return _settings_error(loaded)
     settings = loaded.unwrap()
     if arguments == ["format"]:
         return end_with_problem(lambda: format_folder(settings))
@@ -142,7 +142,7 @@
     return command
 
 
-def _bad_settings(loaded: Result[Any, Problem]) -> int:
+def _settings_error(loaded: Result[Any, Problem]) -> int:
     if isinstance(loaded, Failure) and FLAGS.settings is not None:
         return fail(loaded.failure(), EXIT_USAGE)
     return _usage("--settings is missing" if FLAGS.settings is None else "unknown words")
@@ -154,7 +154,7 @@
     "registry": load_registry_settings,
     "entry": load_entry_settings,
 }
-"""Loaders by the section that only the settings of that process have."""
+"""Settings loaders by the section that is specific to the process."""
 
 
 def _settings(arguments: list[str]) -> int:
@@ -180,7 +180,7 @@
     from . import config_commands
 
     if len(arguments) == 2 and arguments[0] == "validate":
-        return _print(config_commands.validate_file(Path(arguments[1])))
+        return _print_result(config_commands.validate_file(Path(arguments[1])))
     client = _operator_client()
     if client is None:
         return _usage("--controls and a token are needed")
@@ -192,23 +192,23 @@
             base_version=FLAGS.base_version,
             wait_seconds=FLAGS.wait,
         )
-        return _print(outcome)
+        return _print_result(outcome)
     if arguments == ["show"]:
-        return _print(config_commands.show(client))
+        return _print_result(config_commands.show(client))
     if arguments == ["history"]:
-        return _print(config_commands.history(client))
+        return _print_result(config_commands.history(client))
     return _usage("config apply FILE | show | history | validate FILE")
 
 
 def _logs(arguments: list[str]) -> int:
-    from .log_commands import report_logs, show_request
+    from .log_commands import print_report, print_timeline
 
     if not arguments or FLAGS.bucket_seconds <= 0:
         return _usage("logs FILE... [--bucket_seconds N] [--plots FOLDER] [--request ID]")
     if FLAGS.request is not None:
-        return EXIT_OK if show_request(arguments, FLAGS.request) else EXIT_FAILED
+        return EXIT_OK if print_timeline(arguments, FLAGS.request) else EXIT_FAILED
     try:
-        report_logs(arguments, bucket_seconds=FLAGS.bucket_seconds, plots=FLAGS.plots)
+        print_report(arguments, bucket_seconds=FLAGS.bucket_seconds, plots=FLAGS.plots)
     except ImportError as error:
         return _usage(f"{error}; plots need the extra `plots`")
     return EXIT_OK
@@ -221,7 +221,7 @@
         client = _operator_client()
         if client is None or arguments:
             return _usage("--controls and a token are needed, and no further words")
-        return _print(call(client, method, path))
+        return _print_result(call(client, method, path))
 
     return command
 
@@ -244,7 +244,7 @@
     """Run one command.
 
     Args:
-        argv: Program name and words.
+        argv: Program name and arguments.
 
     Returns:
         The exit code.
@@ -258,7 +258,7 @@
     try:
         return COMMANDS[words[0]](list(words[1:]))
     except BrokenPipeError:
-        # Whoever reads the output has seen enough of it.
+        # The reader of the output has closed the pipe.
         return EXIT_OK
     except OSError as error:
         detail = f"{error.filename or ''}: {error.strerror}"
--- a/src/ledgeladder/cli/operator_client.py
+++ b/src/ledgeladder/cli/operator_client.py
@@ -1,4 +1,4 @@
-"""Talking to the control boxes as an operator."""
+"""Client for the operator API of the control boxes."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 from ..model import Problem, ResultCode
 
-CALL_SECONDS: Final = 8.0
-RETRY_SECONDS: Final = 0.2
+CALL_TIMEOUT_SECONDS: Final = 8.0
+RETRY_DELAY_SECONDS: Final = 0.2
 
-UNANSWERED: Final = (
+RETRYABLE_CODES: Final = (
     ResultCode.NOT_LEADER,
     ResultCode.NO_QUORUM,
     ResultCode.CHANGE_UNKNOWN,
 )
-"""Codes after which the same call is sent again, perhaps to another box."""
+"""Codes after which the call is retried, possibly at another box."""
 
 
 class OperatorClient(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the control boxes are and who asks."""
+    """Addresses of the control boxes and credentials of the operator."""
 
     addresses: tuple[str, ...]
     """Operator addresses of the control boxes."""
@@ -31,46 +31,46 @@
     token: str
     """The operator's token."""
 
-    seconds: float = 15.0
-    """How long a call is tried over all boxes."""
+    timeout_seconds: float = 15.0
+    """Maximum time for a call, over all boxes."""
 
 
 def call(
     client: OperatorClient, method: str, path: str, body: bytes | None = None
 ) -> Result[dict[str, Any], Problem]:
-    """Call the leader, finding it by trying boxes and following hints.
+    """Call the leader, which is found by trying all boxes and following redirect hints.
 
-    Sending a change twice is safe: it carries an id.
+    Retries of changes are safe, as changes are identified by an id.
 
     Args:
-        client: Where to call.
+        client: Addresses and credentials.
         method: HTTP method.
         path: Path of the call.
         body: JSON body.
 
     Returns:
-        The JSON answer, or the problem.
+        The decoded JSON answer, or the problem.
     """
-    deadline = time.monotonic() + client.seconds
-    waiting = list(client.addresses)
+    deadline = time.monotonic() + client.timeout_seconds
+    remaining = list(client.addresses)
     problem = Problem(code=ResultCode.NO_QUORUM, detail="no control box answered")
     while time.monotonic() < deadline:
-        if not waiting:
-            waiting = list(client.addresses)
-            time.sleep(RETRY_SECONDS)
-        address = waiting.pop(0)
+        if not remaining:
+            remaining = list(client.addresses)
+            time.sleep(RETRY_DELAY_SECONDS)
+        address = remaining.pop(0)
         answer = _call_one(client, address, method, path, body)
         if answer is None:
             continue
         if "error" not in answer:
             return Success(answer)
-        problem = _problem_of(answer)
-        if problem.code not in UNANSWERED:
+        problem = _decode_problem(answer)
+        if problem.code not in RETRYABLE_CODES:
             return Failure(problem)
         hint = answer.get("leader")
         if hint and hint != address:
-            waiting.insert(0, hint)
-            time.sleep(RETRY_SECONDS / 4)
+            remaining.insert(0, hint)
+            time.sleep(RETRY_DELAY_SECONDS / 4)
     return Failure(problem)
 
 
@@ -85,7 +85,7 @@
             url,
             content=body,
             headers=headers,
-            timeout=CALL_SECONDS,
+            timeout=CALL_TIMEOUT_SECONDS,
             trust_env=False,
             verify=False,
         )
@@ -95,7 +95,7 @@
     return content if isinstance(content, dict) else None
 
 
-def _problem_of(answer: dict[str, Any]) -> Problem:
+def _decode_problem(answer: dict[str, Any]) -> Problem:
     error = answer["error"]
     detail = str(error.get("message", ""))
     if "version" in answer:
--- a/tests/cli/test_logs.py
+++ b/tests/cli/test_logs.py
@@ -1,4 +1,4 @@
-"""`ledgeladder logs` on files."""
+"""The `ledgeladder logs` command."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
     return path
 
 
-def test_tables_of_a_file_that_is_cut(log: Path) -> None:
+def test_truncated_file_is_reported(log: Path) -> None:
     done = run(str(log))
     assert done.returncode == 0
     assert done.stdout.startswith("2 lines of 1 boxes; 1 not JSON or cut")
 
 
-def test_course_of_a_request(log: Path) -> None:
+def test_timeline_of_a_request(log: Path) -> None:
     done = run(str(log), "--request", "r1")
     assert done.returncode == 0
     assert "+1.000 s" in done.stdout
     assert run(str(log), "--request", "unknown").returncode == 1
 
 
-def test_wrong_words_are_usage_and_missing_files_are_named(log: Path) -> None:
+def test_wrong_arguments_and_missing_files_are_reported(log: Path) -> None:
     assert run().returncode == 2
     assert run(str(log), "--bucket_seconds", "0").returncode == 2
     missing = run(str(log.parent / "none.log"))
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""The command line: wrong files and wrong usage."""
+"""The command line: example files, wrong settings and wrong usage."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 @pytest.mark.parametrize("name", ["entry.toml", "control.toml"])
-def test_example_settings_are_good(name: str) -> None:
+def test_example_settings_are_valid(name: str) -> None:
     assert run("settings", "check", str(EXAMPLES / name)).returncode == 0
 
 
-def test_example_change_is_good() -> None:
+def test_example_change_is_valid() -> None:
     outcome = run("config", "validate", str(EXAMPLES / "change.toml"))
     assert outcome.returncode == 0, outcome.stderr
 
@@ -47,7 +47,7 @@
         ("[box]", "[box", ["line"]),
     ],
 )
-def test_wrong_settings_name_file_key_and_value(
+def test_wrong_settings_report_file_key_and_value(
     tmp_path: Path, old: str, new: str, parts: list[str]
 ) -> None:
     text = (EXAMPLES / "entry.toml").read_text(encoding="utf-8")
@@ -78,7 +78,7 @@
     assert run("settings", "check", "/nowhere/at-all.toml").returncode == 2
 
 
-def test_settings_of_processes_that_discover_each_other(tmp_path: Path) -> None:
+def test_settings_of_a_gateway_process(tmp_path: Path) -> None:
     path = tmp_path / "gateway.toml"
     text = """
 [box]
