--- a/src/ledgeladder/reports/__init__.py
+++ b/src/ledgeladder/reports/__init__.py
@@ -8,7 +8,7 @@
 
 from .log_lines import LogLine, ReadCounts, read_lines
 from .log_report import LogReport, add_line, format_report
-from .request_timeline import RequestTimeline, add_to_timeline, format_timeline
+from .request_course import RequestTimeline, add_to_timeline, format_timeline
 
 __all__ = [
     "LogLine",
--- a/tests/reports/test_log_report.py
+++ b/tests/reports/test_log_report.py
@@ -17,7 +17,7 @@
     format_timeline,
 )
 from ledgeladder.reports.log_report import MAX_BUCKETS, MAX_NAMES
-from ledgeladder.reports.request_timeline import MAX_LINES
+from ledgeladder.reports.request_course import MAX_LINES
 
 
 def line(at: float, message: str, box: str = "a-1", **fields: Any) -> LogLine:
