--- a/src/ledgeladder/upstreams/engine.py
+++ b/src/ledgeladder/upstreams/engine.py
@@ -33,6 +33,8 @@
 ORDER_PATH: Final = "/stage/v1/orders"
 
 CANCEL_REQUEST_TIMEOUT_SECONDS: Final = 0.5
+"""Timeout for a single cancellation."""
+
 CANCEL_TIMEOUT_SECONDS: Final = 10.0
 """Time for which a cancellation is retried. Engines drop abandoned requests by themselves later."""
 
@@ -113,7 +115,7 @@
 
 
 class EngineRefusedError(Exception):
-    """The head refused before it started."""
+    """The head refused the request before it started."""
 
     def __init__(self, body: RefusalBody, *, backoff_seconds: float | None = None) -> None:
         super().__init__(body.reason)
@@ -222,7 +224,7 @@
 async def run_on_engine(
     client: httpx.AsyncClient,
     request: RunRequest,
-    record_rate: Callable[[AdvertisedRate | None], None] = lambda _named: None,
+    record_rate: Callable[[AdvertisedRate | None], None] = lambda _advertised: None,
 ) -> AsyncGenerator[list[EngineFrame], None]:
     """Run a request and yield the frames of each read.
 
@@ -305,7 +307,7 @@
             await client.post(url, content=msgspec.json.encode(request))
     except httpx.ConnectError as error:
         logger.info(
-            "connection refused; nothing to cancel",
+            "connection failed; nothing to cancel",
             extra={"address": address, "reason": str(error)},
         )
     except (httpx.HTTPError, TimeoutError):
