--- a/tests/daemons/gateway/test_borrowing.py
+++ b/tests/daemons/gateway/test_borrowing.py
@@ -98,7 +98,7 @@
     state, boxes = linked(None)
     assert anyio.run(acquire_all, state, boxes, 3) == [None, None, None]
     assert state.batched_quota_requests == {}
-    monkeypatch.setattr(borrowing, "LOAN_SECONDS", 0.0)
+    monkeypatch.setattr(borrowing, "QUOTA_SECONDS", 0.0)
     handle_quota_reply(state, RetryQuotaReply(call=boxes[0].requests[0].call, count=4))
     assert anyio.run(acquire_all, state, boxes, 1) == [None]
     assert len(state.pending_quota_requests) == 1
