--- a/standins/membership_network.py
+++ b/standins/membership_network.py
@@ -1,4 +1,4 @@
-"""Boxes of the membership protocol on one virtual clock, with loss, cuts and dead boxes."""
+"""Simulated network for the membership protocol, with loss, partitions and crashed boxes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from ledgeladder.coordination import membership as swim
 
-STEP = 0.05
+STEP_SECONDS = 0.05
 
 
 @dataclass(kw_only=True)
@@ -22,10 +22,10 @@
     loss: float = 0.0
     rng: random.Random = field(init=False)
     boxes: dict[str, swim.Membership] = field(default_factory=dict)
-    flying: list[tuple[float, str, swim.Datagram]] = field(default_factory=list)
+    in_flight: list[tuple[float, str, swim.Datagram]] = field(default_factory=list)
     down: set[str] = field(default_factory=set)
-    cut: set[str] = field(default_factory=set)
-    """Failure domains that reach nobody outside."""
+    partitioned: set[str] = field(default_factory=set)
+    """Failure domains that are partitioned from all others."""
     now: float = 0.0
     bytes_sent: int = 0
 
@@ -52,20 +52,20 @@
             copies = 2 if self.rng.random() < self.loss / 2 else 1
             for _ in range(copies):
                 delay = self.rng.uniform(0.001, 0.02)
-                self.flying.append((self.now + delay, target, datagram))
+                self.in_flight.append((self.now + delay, target, datagram))
 
     def reachable(self, source: str, target: str) -> bool:
-        here, there = source.split("-")[0], target.split("-")[0]
-        return here == there or not self.cut & {here, there}
+        origin, destination = source.split("-")[0], target.split("-")[0]
+        return origin == destination or not self.partitioned & {origin, destination}
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
         while self.now < until:
-            self.now += STEP
-            due = [item for item in self.flying if item[0] <= self.now]
-            self.flying = [item for item in self.flying if item[0] > self.now]
-            self.rng.shuffle(due)
-            for _, target, datagram in due:
+            self.now += STEP_SECONDS
+            arrived = [item for item in self.in_flight if item[0] <= self.now]
+            self.in_flight = [item for item in self.in_flight if item[0] > self.now]
+            self.rng.shuffle(arrived)
+            for _, target, datagram in arrived:
                 if target not in self.down:
                     box = self.boxes[target]
                     self.send(target, swim.receive(box, datagram.message, self.now))
--- a/tests/coordination/membership/test_schedules.py
+++ b/tests/coordination/membership/test_schedules.py
@@ -45,11 +45,11 @@
 def test_partitioned_domain_keeps_its_own_boxes_and_rejoins(seed: int) -> None:
     network = Network(seed=seed)
     network.run(5)
-    network.cut.add("d2")
+    network.partitioned.add("d2")
     network.run(20)
     inside = {name for name in network.boxes if name.startswith("d2")}
     assert all(inside <= network.seen_by(name) for name in inside)
-    network.cut.clear()
+    network.partitioned.clear()
     network.run(20)
     assert all(network.seen_by(name) == set(network.boxes) for name in network.boxes)
 
