--- a/standins/load.py
+++ b/standins/load.py
@@ -1,4 +1,4 @@
-"""Open-loop load: seeded arrivals that do not wait for answers, every answer checked."""
+"""Open-loop load with seeded arrivals, which do not wait for responses; checks each response."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Workload:
-    """What is asked."""
+    """Parameters of a load."""
 
     rate: float
-    """Requests a second."""
+    """Arrivals a second."""
 
     seconds: float
-    """How long requests arrive."""
+    """Time over which requests arrive."""
 
     max_tokens: int = 16
-    """Tokens a request."""
+    """Tokens per request."""
 
     account: str = "nilayam"
     """Client account; its key is `key-of-ACCOUNT`."""
@@ -37,7 +37,7 @@
     """Number of different prompts."""
 
     seed: int = 1
-    """Seed of arrivals and prompts."""
+    """Random seed of arrivals and prompts."""
 
 
 def _histogram() -> HdrHistogram:
@@ -46,7 +46,7 @@
 
 @dataclass(kw_only=True)
 class LoadResult:
-    """What came back."""
+    """Outcomes and latencies of a load; histograms are in microseconds."""
 
     first_token: HdrHistogram = field(default_factory=_histogram)
     token_gap: HdrHistogram = field(default_factory=_histogram)
@@ -54,18 +54,18 @@
     duration: HdrHistogram = field(default_factory=_histogram)
     outcomes: Counter[str] = field(default_factory=Counter)
     tokens: int = 0
-    wrong: list[str] = field(default_factory=list)
+    wrong_prompts: list[str] = field(default_factory=list)
     started_at: float = 0.0
     ended_at: float = 0.0
 
     @property
     def tokens_per_second(self) -> float:
-        """Tokens over the whole run."""
+        """Mean token rate over the whole run."""
         return self.tokens / max(1e-9, self.ended_at - self.started_at)
 
 
 def quantiles(histogram: HdrHistogram) -> str:
-    """Return median, 95 and 99 in 100 and worst, in milliseconds."""
+    """Return the 50th, 95th and 99th percentile and the maximum, in milliseconds."""
     values = [histogram.get_value_at_percentile(q) / 1000 for q in (50, 95, 99, 100)]
     return " / ".join(f"{value:.1f}" for value in values)
 
@@ -78,9 +78,9 @@
     account: str,
     result: LoadResult,
 ) -> None:
-    """Send one streaming request and check its answer."""
-    began = last = time.perf_counter()
-    text, gap, done, refusal = "", 0.0, False, ""
+    """Send one streaming request and check its response."""
+    started = last_token_at = time.perf_counter()
+    text, longest_gap, done, error_type = "", 0.0, False, ""
     body = {"model": "captions", "prompt": prompt, "max_tokens": max_tokens, "stream": True}
     headers = {"authorization": f"Bearer key-of-{account}"}
     try:
@@ -100,37 +100,37 @@
                     break
                 event: dict[str, Any] = json.loads(line[6:])
                 if "error" in event:
-                    refusal = event["error"]["type"]
+                    error_type = event["error"]["type"]
                     continue
-                piece = event["choices"][0]["text"]
-                if not piece:
+                chunk = event["choices"][0]["text"]
+                if not chunk:
                     continue
                 now = time.perf_counter()
-                count = piece.count(" ")
+                count = chunk.count(" ")
                 if not text:
-                    result.first_token.record_value(int((now - began) * 1e6))
+                    result.first_token.record_value(int((now - started) * 1e6))
                 else:
-                    result.token_gap.record_value(int((now - last) * 1e6 / count))
-                    gap = max(gap, now - last)
-                last = now
-                text += piece
+                    result.token_gap.record_value(int((now - last_token_at) * 1e6 / count))
+                    longest_gap = max(longest_gap, now - last_token_at)
+                last_token_at = now
+                text += chunk
                 result.tokens += count
     except httpx.HTTPError as error:
         result.outcomes[f"connection {type(error).__name__}"] += 1
         return
-    if refusal or not done:
-        result.outcomes[f"cut {refusal}"] += 1
+    if error_type or not done:
+        result.outcomes[f"cut {error_type}"] += 1
         return
-    result.longest_gap.record_value(int(gap * 1e6) + 1)
-    result.duration.record_value(int((time.perf_counter() - began) * 1e6))
-    right = text == reference_answer(prompt, LAYERS, max_tokens)
-    result.outcomes["whole" if right else "wrong"] += 1
-    if not right:
-        result.wrong.append(prompt)
+    result.longest_gap.record_value(int(longest_gap * 1e6) + 1)
+    result.duration.record_value(int((time.perf_counter() - started) * 1e6))
+    correct = text == reference_answer(prompt, LAYERS, max_tokens)
+    result.outcomes["whole" if correct else "wrong"] += 1
+    if not correct:
+        result.wrong_prompts.append(prompt)
 
 
 async def run_load(urls: list[str], workload: Workload) -> LoadResult:
-    """Run a workload over several entries."""
+    """Run a workload against several entries in turn."""
     rng = random.Random(workload.seed)
     result = LoadResult(started_at=time.perf_counter())
     limits = httpx.Limits(max_connections=None, max_keepalive_connections=500)
@@ -156,7 +156,7 @@
 
 
 async def run_burst(urls: list[str], count: int, max_tokens: int) -> LoadResult:
-    """Start `count` streams at once, each with a prompt of its own."""
+    """Start `count` streams at once, each with its own prompt."""
     result = LoadResult(started_at=time.perf_counter())
     limits = httpx.Limits(max_connections=None)
     client = httpx.AsyncClient(timeout=60, limits=limits, trust_env=False)
@@ -170,7 +170,7 @@
 
 
 def describe_result(result: LoadResult) -> str:
-    """Return the figures of a run."""
+    """Return a printable summary of a run."""
     return "\n".join(
         [
             f"outcomes: {dict(result.outcomes)}",
