--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the systems that ledgeladder serves, for tests and measurements."""
+"""Stand-ins of the systems around ledgeladder, for tests and benchmarks."""
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,7 +1,7 @@
-"""Starts a fleet, sends real requests through it, prints answers and times.
+"""Starts a fleet, sends requests through it, and prints the answers and latencies.
 
 `python -m standins.demo` runs once and exits non-zero if an answer is wrong; with `--stay` the
-fleet stays up until interrupted.
+fleet runs until interrupted.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 def show_answers(fleet: Fleet) -> bool:
-    """Ask one question through each entry and print who answered."""
-    good = True
+    """Send one request through each entry and print its answer; returns True if all are right."""
+    all_right = True
     for name in fleet.entry_names:
         prompt = f"a headline for {name}"
         body = {"model": "captions", "prompt": prompt, "max_tokens": 8}
-        began = time.perf_counter()
+        started = time.perf_counter()
         response = httpx.post(
             f"{fleet.url(name)}/v1/completions",
             json=body,
@@ -32,17 +32,17 @@
             timeout=30,
             trust_env=False,
         )
-        took = time.perf_counter() - began
+        duration = time.perf_counter() - started
         text = response.json()["choices"][0]["text"] if response.status_code == 200 else ""
         right = text == reference_answer(prompt, LAYERS, 8)
-        good = good and right
+        all_right = all_right and right
         served = response.headers.get("ledgeladder-served-by")
-        print(f"{name}: {text!r} served by {served} in {took * 1000:.0f} ms, right: {right}")
-    return good
+        print(f"{name}: {text!r} served by {served} in {duration * 1000:.0f} ms, right: {right}")
+    return all_right
 
 
 def main() -> int:
-    """Run the demonstration."""
+    """Run the demonstration; returns the exit code."""
     stay = "--stay" in sys.argv[1:]
     with running_fleet() as fleet:
         leader = fleet.wait_leader()
@@ -57,12 +57,12 @@
             print("interrupt to stop", flush=True)
             signal.sigwait({signal.SIGINT, signal.SIGTERM})
             return 0
-        good = show_answers(fleet)
+        all_right = show_answers(fleet)
         urls = [fleet.url(name) for name in fleet.entry_names]
         result: LoadResult = anyio.run(run_burst, urls, 40, 16)
         print("40 streams at once through 8 entries:")
         print(describe_result(result))
-        return 0 if good and result.outcomes == {"whole": 40} else 1
+        return 0 if all_right and result.outcomes == {"whole": 40} else 1
 
 
 if __name__ == "__main__":
