--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Starts a whole system as plain processes on loopback, and steers its processes."""
+"""Starts a whole system as processes on loopback, and controls these processes."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 
 
 def domain_host(domain: str) -> str:
-    """Return the IP number of a failure domain."""
+    """Return the IP address of a failure domain."""
     return f"127.0.{10 + DOMAINS.index(domain)}.1"
 
 
 def free_port(host: str, rng: random.Random) -> int:
-    """Return a port that is free together with the next one, below the ephemeral range."""
+    """Return the first of two adjacent free ports below the ephemeral range."""
     while True:
         port = rng.randrange(10_000, 32_000, 2)
         with contextlib.ExitStack() as stack:
@@ -56,7 +56,7 @@
 
 @dataclass(kw_only=True)
 class Process:
-    """One process of the fleet."""
+    """A process of the fleet and the command that starts it."""
 
     name: str
     domain: str
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineSpec:
-    """One engine of the fleet."""
+    """Parameters of one stand-in engine."""
 
     name: str
     domain: str
@@ -85,7 +85,7 @@
 
 
 def default_engines(domains: tuple[str, ...] = DOMAINS, scale: float = 1.0) -> list[EngineSpec]:
-    """Return a dozen engines of two speeds whose ranges overlap."""
+    """Return four engines for each domain, of two speeds and with overlapping layer ranges."""
     engines = []
     for domain in domains:
         letter = domain[-1]
@@ -101,7 +101,7 @@
 
 @dataclass(kw_only=True)
 class Fleet:
-    """A running system."""
+    """A system of control, entry and stand-in processes."""
 
     folder: Path
     engines: list[EngineSpec] = field(default_factory=default_engines)
@@ -113,14 +113,14 @@
     snapshot_entries: int = 200
     route_choice: str = "better-of-two"
     stall_seconds: float = 0.0
-    """Fixed stall time-out of the entries; 0 for the streams' own pace."""
+    """Fixed stall timeout of the entries; 0 to derive it from the pace of each stream."""
     spare_controls: int = 0
-    """Control boxes that are listed but start with an empty folder, as learners."""
+    """Additional listed control boxes, which start with an empty folder, as learners."""
     processes: dict[str, Process] = field(default_factory=dict)
     addresses: dict[str, str] = field(default_factory=dict)
-    """Advertised address by name; `NAME/link` and `NAME/operator` for the others."""
+    """Advertised address by process name; `NAME/link` and `NAME/operator` for other interfaces."""
     proxy: FaultProxy | None = None
-    given_ports: set[tuple[str, int]] = field(default_factory=set)
+    reserved_ports: set[tuple[str, int]] = field(default_factory=set)
     client: httpx.Client = field(
         default_factory=lambda: httpx.Client(
             trust_env=False,
@@ -129,9 +129,9 @@
             limits=httpx.Limits(max_keepalive_connections=0),
         )
     )
-    """One client for all calls, since making one loads certificates for 40 ms.
+    """Shared by all calls, as creating a client loads certificates, which is slow.
 
-    It keeps no connections: a server may close an idle one just when it is used again.
+    Keeps no connections alive: a server may close an idle one at the moment of its reuse.
     """
     rng: random.Random = field(default_factory=lambda: random.Random(os.getpid()))
 
@@ -148,28 +148,28 @@
         return [name for name in self.processes if name.startswith("control-")]
 
     def reserve(self, name: str, domain: str, *, proxied: bool, pair: bool = False) -> str:
-        """Reserve an address; returns where the process must listen."""
+        """Reserve an advertised address; returns the address to listen on."""
         host = domain_host(domain)
-        port = self.unused_port(host)
+        port = self.reserve_port(host)
         self.addresses[name] = f"{host}:{port}"
         if not (self.proxied and proxied):
             return f"{host}:{port}"
         assert self.proxy is not None
-        inner = self.unused_port(host)
+        inner = self.reserve_port(host)
         for offset in range(2 if pair else 1):
             self.proxy.add((host, port + offset), (host, inner + offset))
         return f"{host}:{inner}"
 
-    def unused_port(self, host: str) -> int:
-        """Return a free port that this fleet has not given to anybody yet."""
+    def reserve_port(self, host: str) -> int:
+        """Reserve and return a free port that this fleet does not use yet."""
         while True:
             port = free_port(host, self.rng)
-            if (host, port) not in self.given_ports:
-                self.given_ports.add((host, port))
+            if (host, port) not in self.reserved_ports:
+                self.reserved_ports.add((host, port))
                 return port
 
     def start(self) -> None:
-        """Start everything."""
+        """Start all processes and the proxy."""
         if self.proxied:
             self.proxy = FaultProxy()
         self._add_upstreams()
@@ -215,7 +215,7 @@
                 self.reserve(f"{name}/operator", domain, proxied=False),
             )
         for name, (domain, link, operator) in listens.items():
-            text = _head(name, domain) + "\n".join(
+            text = _box_settings(name, domain) + "\n".join(
                 [
                     "[control]",
                     f'data_folder = "{self.folder / name}"',
@@ -240,7 +240,7 @@
                 link = self.reserve(f"{name}/link", domain, proxied=True)
                 listens[name] = (domain, caller, link)
         for name, (domain, caller, link) in listens.items():
-            text = _head(name, domain) + "\n".join(
+            text = _box_settings(name, domain) + "\n".join(
                 [
                     "[entry]",
                     f'caller_address = "{caller}"',
@@ -261,15 +261,15 @@
             self._add(name, domain, self._daemon("entry", name, text))
 
     def _controls_text(self, names: list[str]) -> str:
-        parts = []
+        settings = []
         for name in names:
             domain = DOMAINS[(int(name.rpartition("-")[2]) - 1) % len(DOMAINS)]
-            parts.append(
+            settings.append(
                 f'[[controls]]\nname = "{name}"\nfailure_domain = "{domain}"\n'
                 f'link_address = "{self.addresses[f"{name}/link"]}"\n'
                 f'operator_address = "{self.addresses[f"{name}/operator"]}"'
             )
-        return "\n".join(parts)
+        return "\n".join(settings)
 
     def _daemon(self, role: str, name: str, text: str) -> list[str]:
         path = self.folder / f"{name}.toml"
@@ -297,21 +297,21 @@
             popen.send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill one process and wait for its end."""
+        """Kill one process and wait for its exit."""
         self.signal(name, signal.SIGKILL)
         popen = self.processes[name].popen
         if popen is not None:
             popen.wait(10)
 
     def terminate(self, name: str, timeout: float = 30.0) -> int:
-        """Ask one process to stop; returns its exit code."""
+        """Send SIGTERM to one process; returns its exit code."""
         self.signal(name, signal.SIGTERM)
         popen = self.processes[name].popen
         assert popen is not None
         return popen.wait(timeout)
 
     def stop(self) -> None:
-        """End everything that was started."""
+        """Stop all processes and the proxy; kill processes that do not exit in time."""
         for name in self.processes:
             self.signal(name, signal.SIGCONT)
             self.signal(name, signal.SIGTERM)
@@ -327,14 +327,14 @@
         if self.proxy is not None:
             self.proxy.close()
 
-    # -- talking to it ----------------------------------------------------------------------
+    # -- calls ------------------------------------------------------------------------------
 
     def url(self, name: str) -> str:
         """Return the base URL of an entry, engine, service or the platform."""
         return f"http://{self.addresses[name]}"
 
     def cli(self, *words: str) -> subprocess.CompletedProcess[str]:
-        """Run an operator command."""
+        """Run an operator command against all control boxes."""
         controls = ",".join(self.addresses[f"{name}/operator"] for name in self.control_names)
         environment = _environment() | {"LEDGELADDER_TOKEN": OPERATOR_TOKEN}
         return subprocess.run(
@@ -348,7 +348,7 @@
         )
 
     def operator(self, name: str, path: str, body: Any = None) -> httpx.Response:
-        """Call one control box as an operator."""
+        """Send one control box a request with the operator token."""
         url = f"http://{self.addresses[f'{name}/operator']}{path}"
         headers = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
         if body is None:
@@ -356,14 +356,14 @@
         return self.client.post(url, headers=headers, json=body, timeout=8)
 
     def status(self, name: str) -> dict[str, Any] | None:
-        """Return one control box's status, or None if it does not answer."""
+        """Return the status of one control box, or None if it does not respond."""
         try:
             return dict(self.operator(name, "/v1/status").json())
         except (httpx.HTTPError, ValueError):
             return None
 
     def leader(self) -> str | None:
-        """Return the control box that leads with the highest term."""
+        """Return the leader with the highest term, or None."""
         leaders = []
         for name in self.control_names:
             popen = self.processes[name].popen
@@ -375,7 +375,7 @@
         return max(leaders)[1] if leaders else None
 
     def configuration_text(self, version: str = "") -> str:
-        """Return the change file for this fleet, with a version of the weights to load."""
+        """Return the change file for this fleet; engines load the weights of `version`."""
         parts = [
             '[[priorities]]\nname = "urgent"\nrank = 0',
             '[[priorities]]\nname = "batch"\nrank = 60',
@@ -422,13 +422,13 @@
             wait_until(partial(self.is_ready, name), seconds, f"{name} ready")
 
     def wait_upstreams(self, seconds: float = 20.0) -> None:
-        """Wait until every engine and service answers."""
+        """Wait until every engine and service responds."""
         for name in self.processes:
             if name.startswith(("fast-", "slow-", "service-")):
-                wait_until(partial(self.answers, name), seconds, f"{name} answering")
+                wait_until(partial(self.is_responding, name), seconds, f"{name} answering")
 
-    def answers(self, name: str) -> bool:
-        """Tell whether an engine or service answers."""
+    def is_responding(self, name: str) -> bool:
+        """Return True if an engine or service responds."""
         try:
             url = self.url(name) + "/standin/stats"
             return self.client.get(url, timeout=2).status_code == 200
@@ -436,7 +436,7 @@
             return False
 
     def is_ready(self, name: str) -> bool:
-        """Tell whether an entry is ready for callers."""
+        """Return True if an entry is ready for callers."""
         try:
             url = self.url(name) + "/ready"
             return self.client.get(url, timeout=2).status_code == 200
@@ -447,12 +447,12 @@
         """Wait for a leader and return its name."""
         found: list[str] = []
 
-        def look() -> bool:
+        def check() -> bool:
             leader = self.leader()
             found.extend([leader] if leader else [])
             return bool(found)
 
-        wait_until(look, seconds, "a leader")
+        wait_until(check, seconds, "a leader")
         return found[0]
 
 
@@ -465,7 +465,11 @@
 
 
 def wait_until(condition: Callable[[], bool], seconds: float, what: str) -> None:
-    """Wait for a condition, or fail."""
+    """Wait for a condition.
+
+    Raises:
+        TimeoutError: If the condition is not met in time.
+    """
     deadline = time.monotonic() + seconds
     while not condition():
         if time.monotonic() > deadline:
@@ -473,7 +477,7 @@
         time.sleep(0.05)
 
 
-def _head(name: str, domain: str) -> str:
+def _box_settings(name: str, domain: str) -> str:
     return (
         f'[box]\nname = "{name}"\nfailure_domain = "{domain}"\n'
         f'source_address = "{domain_host(domain)}"\n'
@@ -487,7 +491,7 @@
 
 @contextlib.contextmanager
 def running_fleet(**options: Any) -> Iterator[Fleet]:
-    """Run a fleet in a temporary folder."""
+    """Run a fleet in a temporary folder; `options` are fields of `Fleet`."""
     with tempfile.TemporaryDirectory(prefix="ledgeladder-") as folder:
         fleet = Fleet(folder=Path(folder), **options)
         try:
@@ -498,11 +502,13 @@
 
 
 def describe(fleet: Fleet) -> str:
-    """Return names, process ids and addresses."""
+    """Return a printable list of processes, addresses and credentials."""
     lines = []
     for name, process in fleet.processes.items():
-        known = {key: value for key, value in fleet.addresses.items() if key.split("/")[0] == name}
-        lines.append(f"{name:12} pid {process.pid:7} {process.domain} {json.dumps(known)}")
+        addresses = {
+            key: value for key, value in fleet.addresses.items() if key.split("/")[0] == name
+        }
+        lines.append(f"{name:12} pid {process.pid:7} {process.domain} {json.dumps(addresses)}")
     lines.append("caller keys: key-of-nilayam key-of-citaverde key-of-batch")
     lines.append(f"operator token: {OPERATOR_TOKEN}")
     return "\n".join(lines)
