--- a/standins/discovered_fleet.py
+++ b/standins/discovered_fleet.py
@@ -1,6 +1,6 @@
 """Starts gateways, registries and upstreams that register, as processes on loopback.
 
-Each box has an IP number of its own out of 127.0.0.0/8, as the system knows boxes by that.
+Each box has its own IP address in 127.0.0.0/8, as the system identifies boxes by IP address.
 """
 
 from __future__ import annotations
@@ -22,28 +22,28 @@
 import httpx
 
 from .fault_proxy import FaultProxy
-from .registered_upstream import CARD_MB, LAYER_MB
+from .registered_upstream import ACCELERATOR_MB, LAYER_MB
 
 ROOT = Path(__file__).resolve().parent.parent
-"""Folder in which the processes run, so that they find this package."""
+"""Working directory of the processes, from which they import this package."""
 
 ZONES = ("zone-a", "zone-b", "zone-c")
 """Failure domains; boxes of each kind are spread over them in turn."""
 
 LAYERS = 16
-"""Layers of the model; two engines with big cards hold them all."""
+"""Layers of the model; two engines with big accelerators hold all of them."""
 
 KEY = "key-of-the-designers"
-"""Key of the only client account, never taken away."""
+"""Key of the only client account, which is never revoked."""
 
 SECOND_KEY = "second-key-of-the-designers"
-"""Another key of it, which tests take away."""
+"""Second key of that account, which tests revoke."""
 
 HOST = "captions.example"
 """Host of all routes."""
 
-# Ports of a box, counted from the first one: 0 links, 1 metrics, 2 registry, 3 callers, 4 ready,
-# 5 upstream or the proxy before it, 6 upstream behind a proxy.
+# Ports of a box, as offsets from its first one: 0 links, 1 metrics, 2 registry, 3 callers,
+# 4 readiness, 5 upstream or its proxy, 6 upstream behind a proxy.
 SETTINGS = """
 [box]
 name = "{name}"
@@ -69,27 +69,27 @@
 
 @dataclass(kw_only=True)
 class Box:
-    """One process."""
+    """A process of the fleet and the command that starts it."""
 
     name: str
-    """Kind and number, such as `gateway-0`."""
+    """Role and number, such as `gateway-0`."""
 
     ip: str
-    """IP number."""
+    """IP address."""
 
     command: list[str]
     """Command line that starts it."""
 
     log: Path
-    """File that its output is appended to, over all of its runs."""
+    """File that the output of all its instances is appended to."""
 
     popen: subprocess.Popen[bytes] | None = None
-    """Its newest run."""
+    """Its newest instance."""
 
 
 @dataclass(kw_only=True)
 class DiscoveredFleet:
-    """A running system."""
+    """A system of gateways, registries and registered upstreams."""
 
     folder: Path
     """Folder for settings, logs, ledgers and data."""
@@ -101,19 +101,19 @@
     """Control boxes to start."""
 
     revocation_ms: int = 5000
-    """How long a key may work after it was taken away, in milliseconds."""
+    """Time limit for the revocation of a key, in milliseconds."""
 
     port: int = 0
-    """First port of every box; chosen at random."""
+    """First port of every box; random."""
 
     proxy: FaultProxy | None = None
-    """Proxy in front of every upstream, if there is one."""
+    """Proxy in front of every upstream, or None."""
 
     boxes: dict[str, Box] = field(default_factory=dict)
     """Processes by name."""
 
     version: int = 0
-    """Newest version that `publish_next` has published."""
+    """Newest version that `publish_next` published."""
 
     client: httpx.Client = field(
         default_factory=lambda: httpx.Client(timeout=10.0, trust_env=False)
@@ -124,33 +124,33 @@
         self.port = rng.randrange(12_000, 30_000, 10)
         self.network = rng.randrange(20, 250)
 
-    def ip(self, kind: int, number: int) -> str:
-        """Return the IP number of a box.
+    def ip(self, role: int, number: int) -> str:
+        """Return the IP address of a box.
 
         Args:
-            kind: 1 for registries, 2 for gateways, 3 for engines, 4 for plain services.
-            number: Number of the box among its kind.
+            role: 1 for registries, 2 for gateways, 3 for engines, 4 for plain services.
+            number: Number of the box in its role.
         """
-        return f"127.{self.network}.{kind}.{number + 1}"
+        return f"127.{self.network}.{role}.{number + 1}"
 
     @property
     def control_addresses(self) -> list[str]:
-        """Where the registries take upstreams and operators."""
+        """Addresses of the registries for upstreams and operators."""
         return [f"{self.ip(1, number)}:{self.port + 2}" for number in range(self.registries)]
 
     def caller_address(self, number: int) -> str:
-        """Return where a gateway takes callers."""
+        """Return the address of a gateway for callers."""
         return f"{self.ip(2, number)}:{self.port + 3}"
 
     def ready(self, number: int) -> bool:
-        """Tell whether a gateway calls itself ready."""
+        """Return True if a gateway reports that it is ready."""
         url = f"http://{self.ip(2, number)}:{self.port + 4}/api/ready"
         with contextlib.suppress(httpx.HTTPError):
             return self.client.get(url).status_code == 200
         return False
 
-    def settings(self, name: str, zone: str, ip: str, role: str, *, bootstrap: bool) -> Path:
-        """Write a settings file."""
+    def write_settings(self, name: str, zone: str, ip: str, role: str, *, bootstrap: bool) -> Path:
+        """Write the settings file of a box and return its path."""
         path = self.folder / f"{name}.toml"
         text = SETTINGS.format(
             name=name,
@@ -171,8 +171,8 @@
 
         Args:
             number: Its number.
-            bootstrap: True while the whole system starts for the first time; else an empty disk
-                makes it a new member.
+            bootstrap: True for the first start of the whole system; otherwise a box with an empty
+                disk joins as a new member.
         """
         name, ip = f"registry-{number}", self.ip(1, number)
         role = (
@@ -180,7 +180,7 @@
             f'data_folder = "{self.folder / name}"'
         )
         zone = ZONES[number % 3]
-        path = self.settings(name, zone, ip, role, bootstrap=bootstrap)
+        path = self.write_settings(name, zone, ip, role, bootstrap=bootstrap)
         command = [sys.executable, "-m", "ledgeladder", "registry", "--settings", str(path)]
         return self.start(name, ip, command)
 
@@ -191,7 +191,7 @@
             f'[gateway]\ncaller_address = "{ip}:{self.port + 3}"\n'
             f'ready_address = "{ip}:{self.port + 4}"'
         )
-        path = self.settings(name, ZONES[number % 3], ip, role, bootstrap=True)
+        path = self.write_settings(name, ZONES[number % 3], ip, role, bootstrap=True)
         command = [sys.executable, "-m", "ledgeladder", "gateway", "--settings", str(path)]
         return self.start(name, ip, command)
 
@@ -201,13 +201,13 @@
         Args:
             number: Its number in the pool.
             pool: Its pool.
-            card: Kind of its accelerator; empty for a plain service.
+            card: Type of its accelerator; empty for a plain service.
             options: Further options of `standins.registered_upstream`.
         """
         name, ip = f"{pool}-{number}", self.ip(3 if card else 4, number)
         address = (ip, self.port + 5)
         if self.proxy is not None:
-            # Others reach it through the proxy; it listens one port further.
+            # The proxy takes the advertised port; the upstream listens on the next one.
             self.proxy.add(address, (ip, self.port + 6))
             options = {"listen": f"{ip}:{self.port + 6}"} | options
         command = [
@@ -225,23 +225,23 @@
         command += [f"--{option.replace('_', '-')}={value}" for option, value in options.items()]
         return self.start(name, ip, command)
 
-    def set_mood(self, name: str, **mood: Any) -> None:
-        """Say how an upstream answers from now on; without arguments it serves as usual.
+    def set_response_mode(self, name: str, **mode: Any) -> None:
+        """Set how an upstream responds; without arguments it serves normally.
 
         Args:
             name: The upstream.
-            mood: `rest`, the time that each refusal names, as text, or empty for refusals that
-                name none; `rest_of_calls`, the same for reports and orders; `leaving`, True if
-                answers say that it leaves.
+            mode: `rest`, the `Retry-After` of refusals, or empty for refusals without one;
+                `rest_of_calls`, the same for reports and orders; `leaving`, True to announce
+                draining; `limit`, the announced requests a second.
         """
         path = self.folder / f"{name}.mood"
-        # Several threads may say so at once.
+        # Several threads may set it at once; the rename makes each write atomic.
         written = path.with_suffix(f".{secrets.token_hex(4)}")
-        written.write_text(json.dumps(mood))
+        written.write_text(json.dumps(mode))
         written.replace(path)
 
     def start(self, name: str, ip: str, command: list[str]) -> str:
-        """Start a process, or start it again."""
+        """Start a process, or a new instance of it."""
         box = self.boxes.setdefault(
             name, Box(name=name, ip=ip, command=command, log=self.folder / f"{name}.log")
         )
@@ -251,7 +251,7 @@
         return name
 
     def restart(self, name: str) -> None:
-        """Start a process again, unless it is running."""
+        """Start a new instance of a process unless one is running."""
         box = self.boxes[name]
         if box.popen is not None and box.popen.poll() is None:
             return
@@ -264,25 +264,25 @@
             popen.send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill a process and wait for its end."""
+        """Kill a process and wait for its exit."""
         self.signal(name, signal.SIGKILL)
         popen = self.boxes[name].popen
         if popen is not None:
             popen.wait()
 
-    def wait_end(self, name: str, seconds: float = 15) -> int:
-        """Wait for the end of a process; returns its exit code."""
+    def wait_exit(self, name: str, seconds: float = 15) -> int:
+        """Wait for the exit of a process; returns its exit code."""
         popen = self.boxes[name].popen
         assert popen is not None
         return popen.wait(seconds)
 
     def publish(self, document: dict[str, Any], number: int = 0) -> httpx.Response:
-        """Publish a document at one registry."""
+        """Send a document to one registry."""
         url = f"http://{self.control_addresses[number]}/api/config"
         return self.client.put(url, json=document)
 
     def publish_next(self, **changes: Any) -> dict[str, Any]:
-        """Publish a document under the next version until it is acknowledged."""
+        """Publish the example document with changes as the next version, until it is accepted."""
         self.version += 1
         document = example_document(self.version) | changes
 
@@ -296,26 +296,26 @@
         return document
 
     def wipe(self, number: int) -> None:
-        """Kill a registry, empty its disk, start it again as a new member and wait for that."""
+        """Kill a registry, delete its data, and restart it as a new member."""
         name = f"registry-{number}"
         self.kill(name)
         for path in (self.folder / name).iterdir():
             path.unlink()
-        starts = self.starts(name)
+        starts = self.count_starts(name)
         self.add_registry(number, bootstrap=False)
-        wait_until(lambda: self.starts(name) > starts, 20, f"{name} started")
+        wait_until(lambda: self.count_starts(name) > starts, 20, f"{name} started")
 
-    def starts(self, name: str) -> int:
-        """Return how often a registry has started."""
+    def count_starts(self, name: str) -> int:
+        """Return how often a registry has started, by its log."""
         return sum(line["message"] == "registry starts" for line in self.log(name))
 
     def upstream_ids(self, name: str) -> set[str]:
-        """Return the ids under which an upstream has noted anything."""
+        """Return the instance ids in the ledger of an upstream."""
         lines = (self.folder / f"{name}.ledger").read_text().splitlines()
         return {json.loads(line)["upstream"] for line in lines if line.endswith("}")}
 
     def ledger(self, event: str = "run") -> list[dict[str, Any]]:
-        """Return what the upstreams noted of one kind of event, in no order over upstreams."""
+        """Return the ledger entries of one kind, in order only for each upstream."""
         lines = []
         for path in self.folder.glob("*.ledger"):
             text = path.read_text().splitlines()
@@ -323,13 +323,13 @@
         return [line for line in lines if line["event"] == event]
 
     def log(self, name: str) -> list[dict[str, Any]]:
-        """Return the log lines of a process over all of its runs; torn ones are left out."""
+        """Return the log lines of all instances of a process, without incomplete ones."""
         lines = self.boxes[name].log.read_text().splitlines()
         return [json.loads(line) for line in lines if line.startswith("{") and line.endswith("}")]
 
 
 def example_document(version: int) -> dict[str, Any]:
-    """Return a document with a stream, a repeatable and an at-most-once route."""
+    """Return a document with a streaming, a retryable, an at-most-once and a public route."""
 
     def route(name: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
         return {
@@ -345,7 +345,9 @@
             "public": False,
         } | more
 
-    cards = [{"name": name, "mb": mb, "pace": 2.0, "read_x": 2.0} for name, mb in CARD_MB.items()]
+    accelerators = [
+        {"name": name, "mb": mb, "pace": 2.0, "read_x": 2.0} for name, mb in ACCELERATOR_MB.items()
+    ]
     engine = {
         "kvTokenBytes": 1_000_000,
         "stride": 1,
@@ -358,7 +360,7 @@
         "usual": {"prompt": 10, "answer": 50},
         "layers": LAYERS,
         "layer_mb": LAYER_MB,
-        "kinds": cards,
+        "kinds": accelerators,
     }
     return {
         "version": version,
@@ -386,7 +388,7 @@
     """Wait for a condition.
 
     Raises:
-        TimeoutError: If it does not come true in time.
+        TimeoutError: If the condition is not met in time.
     """
     deadline = time.monotonic() + seconds
     while not condition():
@@ -397,16 +399,16 @@
 
 @contextlib.contextmanager
 def running_discovered_fleet(**options: Any) -> Iterator[DiscoveredFleet]:
-    """Start a system with its upstreams, and end every process that it started.
+    """Run a system with its upstreams; on exit, kill every process that it started.
 
     Args:
-        options: Fields of `DiscoveredFleet`, and besides `engines` (6) and `services` (3), how many
-            upstreams to start, `fail_share`, what share of plain requests services fail, and
-            `crash_word`, a word in a request's body that ends the upstream that runs it, and
-            `keep_ids`, True if upstreams keep their ids over restarts.
+        options: Fields of `DiscoveredFleet`, and also: `engines` (6) and `services` (3), the
+            numbers of upstreams; `fail_share`, the share of plain requests that services fail;
+            `crash_word`, a word in a request's body that crashes the upstream that executes it;
+            `keep_ids`, True if upstreams keep their instance ids over restarts.
 
     Yields:
-        The system, once every gateway is ready. Engines may not hold their layers yet.
+        The system when every gateway is ready. Engines may not hold their layers yet.
     """
     engines = options.pop("engines", 6)
     services = options.pop("services", 3)
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -1,8 +1,7 @@
-"""A fault-injecting TCP proxy between the processes of a fleet.
+"""A fault-injecting TCP and UDP proxy between the processes of a fleet.
 
-It runs on a thread of its own, so that a test can change the faults while it does other things. A
-fault is set between a source and a target failure domain, told apart by IP number, or for one
-target alone.
+It runs on its own thread, independent of the test that changes the faults. A fault applies between
+a source and a target failure domain, identified by IP address, or to one target.
 """
 
 from __future__ import annotations
@@ -16,33 +15,33 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Fault:
-    """What happens to the connections that it applies to."""
+    """Faults injected into connections."""
 
     refuse: bool = False
-    """New connections are closed at once and open ones are reset."""
+    """Resets new and open connections."""
 
-    drop_forth: bool = False
-    """Bytes towards the target vanish; the connection stays open."""
+    drop_to_target: bool = False
+    """Drops bytes sent to the target; the connection stays open."""
 
-    drop_back: bool = False
-    """Bytes from the target vanish."""
+    drop_from_target: bool = False
+    """Drops bytes sent by the target; the connection stays open."""
 
     delay: float = 0.0
-    """Seconds that each piece is held back."""
+    """Delay of each chunk, in seconds."""
 
     bytes_per_second: float = 0.0
-    """Speed limit; 0 for none."""
+    """Bandwidth limit; 0 for none."""
 
 
-CUT = Fault(drop_forth=True, drop_back=True)
-"""Both ways silent, as when a switch dies: nothing is closed, nothing arrives."""
+CUT = Fault(drop_to_target=True, drop_from_target=True)
+"""Drops bytes both ways without closing connections, as a failed switch does."""
 
 NO_FAULT = Fault()
 
 
 @dataclass(kw_only=True)
 class Target:
-    """One proxied address."""
+    """One proxied address and its open connections."""
 
     listen: tuple[str, int]
     forward: tuple[str, int]
@@ -50,7 +49,7 @@
 
 
 class DatagramForwarder(asyncio.DatagramProtocol):
-    """Passes datagrams on; answers come as datagrams of their own."""
+    """Forwards datagrams to a target; replies are sent directly, as datagrams of their own."""
 
     def __init__(self, proxy: FaultProxy, target: Target) -> None:
         self.proxy = proxy
@@ -61,7 +60,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         fault = self.proxy._fault(addr[0], self.target)
-        if not (fault.refuse or fault.drop_forth):
+        if not (fault.refuse or fault.drop_to_target):
             self.transport.sendto(data, self.target.forward)
 
 
@@ -90,37 +89,37 @@
         asyncio.run_coroutine_threadsafe(start(), self.loop).result(5)
 
     def set_between(self, source_host: str, target_host: str, fault: Fault) -> None:
-        """Set the fault from one failure domain to another, by IP number."""
+        """Set the fault from one failure domain to another, by IP address."""
         self.host_faults[(source_host, target_host)] = fault
-        self._apply()
+        self._apply_faults()
 
     def set_target(self, listen: tuple[str, int], fault: Fault) -> None:
         """Set the fault of one proxied address."""
         self.target_faults[listen] = fault
-        self._apply()
+        self._apply_faults()
 
     def isolate(self, host: str, others: list[str], fault: Fault = CUT) -> None:
-        """Cut one failure domain off from all others, both ways."""
+        """Isolate one failure domain from all others, both ways."""
         for other in others:
             if other != host:
                 self.host_faults[(host, other)] = fault
                 self.host_faults[(other, host)] = fault
-        self._apply()
+        self._apply_faults()
 
     def heal(self) -> None:
-        """Remove all faults; connections that lost bytes are closed."""
+        """Remove all faults and reset all connections, as some may have lost bytes."""
         self.host_faults.clear()
         self.target_faults.clear()
-        self._call(self._reset_all)
+        self._run_on_loop(self._reset_all)
 
     def close(self) -> None:
-        """Stop the proxy."""
-        self._call(self._reset_all)
-        asyncio.run_coroutine_threadsafe(self._end_tasks(), self.loop).result(5)
+        """Reset all connections and stop the proxy."""
+        self._run_on_loop(self._reset_all)
+        asyncio.run_coroutine_threadsafe(self._cancel_tasks(), self.loop).result(5)
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join(5)
 
-    async def _end_tasks(self) -> None:
+    async def _cancel_tasks(self) -> None:
         tasks = asyncio.all_tasks() - {asyncio.current_task()}
         for task in tasks:
             task.cancel()
@@ -130,7 +129,7 @@
         between = self.host_faults.get((source_host, target.listen[0]))
         return between or self.target_faults.get(target.listen, NO_FAULT)
 
-    def _call(self, work: Callable[[], None]) -> None:
+    def _run_on_loop(self, work: Callable[[], None]) -> None:
         done = threading.Event()
 
         def run() -> None:
@@ -140,8 +139,8 @@
         self.loop.call_soon_threadsafe(run)
         done.wait(5)
 
-    def _apply(self) -> None:
-        self._call(self._reset_refused)
+    def _apply_faults(self) -> None:
+        self._run_on_loop(self._reset_refused)
 
     def _reset_refused(self) -> None:
         for target in self.targets.values():
@@ -163,18 +162,18 @@
             writer.transport.abort()
             return
         target.writers[writer] = source_host
-        onward = None
+        target_writer = None
         try:
-            onward_reader, onward = await asyncio.open_connection(*target.forward)
-            target.writers[onward] = source_host
+            target_reader, target_writer = await asyncio.open_connection(*target.forward)
+            target.writers[target_writer] = source_host
             await asyncio.gather(
-                self._pump(target, source_host, reader, onward, forth=True),
-                self._pump(target, source_host, onward_reader, writer, forth=False),
+                self._pump(target, source_host, reader, target_writer, to_target=True),
+                self._pump(target, source_host, target_reader, writer, to_target=False),
             )
         except OSError:
             pass
         finally:
-            for side in (writer, onward):
+            for side in (writer, target_writer):
                 if side is not None:
                     target.writers.pop(side, None)
                     side.transport.abort()
@@ -186,11 +185,11 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        forth: bool,
+        to_target: bool,
     ) -> None:
         while data := await reader.read(65536):
             fault = self._fault(source_host, target)
-            if fault.drop_forth if forth else fault.drop_back:
+            if fault.drop_to_target if to_target else fault.drop_from_target:
                 continue
             pause = fault.delay
             if fault.bytes_per_second:
@@ -200,6 +199,6 @@
             writer.write(data)
             await writer.drain()
         fault = self._fault(source_host, target)
-        if not (fault.drop_forth if forth else fault.drop_back):
+        if not (fault.drop_to_target if to_target else fault.drop_from_target):
             with contextlib.suppress(OSError, RuntimeError):
                 writer.write_eof()
--- a/standins/registered_upstream.py
+++ b/standins/registered_upstream.py
@@ -1,7 +1,7 @@
-"""A stand-in upstream of the users' platform: it registers, takes orders and serves requests.
+"""A stand-in upstream that registers itself, accepts orders and serves requests.
 
-Run as `python -m standins.registered_upstream --help`. Every run of a request is appended to a
-ledger file, so that tests judge what upstreams saw and not what the system says.
+Run as `python -m standins.registered_upstream --help`. Every execution of a request is appended to
+a ledger file, which lets tests check what upstreams really received.
 """
 
 from __future__ import annotations
@@ -26,110 +26,110 @@
 LAYER_MB = 1000.0
 """Memory of one layer, in megabytes."""
 
-CARD_MB = {"big": 12000.0, "small": 7000.0}
-"""Memory of each kind of accelerator, in megabytes."""
+ACCELERATOR_MB = {"big": 12000.0, "small": 7000.0}
+"""Memory of each type of accelerator, in megabytes."""
 
 EVENT_SECONDS = 0.02
 """Time between two events of a stream."""
 
 STALL_SECONDS = 3.0
-"""How long a first engine is silent before it breaks off, once another of its path is lost."""
+"""How long the first engine of a path stalls before it breaks off, once another engine is lost."""
 
-BEAT_SECONDS = 0.3
-"""Time between heartbeats; the fleet's settings name the same."""
+HEARTBEAT_SECONDS = 0.3
+"""Time between heartbeats; must match `heartbeat_ms` in the fleet's settings."""
 
 CRASH_SECONDS = 0.05
-"""Time from the beginning of a run to the crash that it causes."""
+"""Time from the start of a request to the crash that it causes."""
 
-LEAVE_SECONDS = 2.5
-"""Time between the announcement of an end and the end."""
+DRAIN_SECONDS = 2.5
+"""Time between the announcement of a planned exit and the exit."""
 
 
 @dataclass(kw_only=True)
 class StandIn:
-    """One upstream."""
+    """Options and state of one upstream."""
 
     address: str
-    """Where others reach it, as `host:port`, which may be a proxy."""
+    """Advertised address as `host:port`, which may be a proxy."""
 
     listen: str
-    """Where it listens, as `host:port`."""
+    """Listening address as `host:port`."""
 
     pool: str
-    """Pool that it registers for."""
+    """Pool that it registers in."""
 
     zone: str
-    """Failure domain that it names."""
+    """Failure domain in its heartbeats."""
 
     card: str
-    """Kind of its accelerator; empty for a plain service."""
+    """Type of its accelerator; empty for a plain service."""
 
     controls: list[str]
     """Control boxes that it registers with, as `host:port`; tried in this order."""
 
     ledger: Path
-    """File that its runs are appended to, which outlives it."""
+    """File of its events, which is kept when the process exits."""
 
     seconds: float
-    """Time that a plain request takes."""
+    """Duration of a plain request."""
 
     fail_share: float = 0.0
-    """Share of plain requests that are run and answered with 500."""
+    """Share of plain requests that are executed and answered with status 500."""
 
     crash_word: str = ""
-    """Word in the body of a request that ends this process soon after it begins to run it; empty
-    for none."""
+    """Word in the body of a request that crashes the process while it executes it; empty for
+    none."""
 
     mood: Path | None = None
-    """File that says how it answers: a JSON object with `rest`, the time that a refusal names,
-    while all requests are to be refused, `rest_of_calls`, the same for reports and orders,
-    `leaving`, true if answers are to say that it leaves, and `limit`, the requests a second that
-    they name. Read for each request; without the file it serves."""
+    """File that controls its responses: a JSON object with `rest`, the `Retry-After` of refusals
+    while all requests are refused, `rest_of_calls`, the same for reports and orders, `leaving`,
+    true to announce draining, and `limit`, the announced requests a second. Read for each request;
+    without the file it serves normally."""
 
     instance: str = ""
-    """Id; drawn for each run unless it keeps one over restarts."""
+    """Instance id; random for each process unless it is kept over restarts."""
 
     born: int = 0
-    """When this run started, in milliseconds since 1970; 0 if it does not say."""
+    """Start of the process in milliseconds since 1970; 0 to leave it out of heartbeats."""
 
     sequence: int = 0
-    """Number of the newest heartbeat."""
+    """Sequence number of the newest heartbeat."""
 
     state: str = "ready"
-    """State that heartbeats name."""
+    """State in its heartbeats."""
 
     layers: tuple[int, int] | None = None
-    """First layer that it holds and one past the last; None before an order."""
+    """First layer that it holds and one past the last; None before the first order."""
 
     fence: int = 0
-    """Highest term of an order that it took."""
+    """Highest term of an accepted order."""
 
     checks_fences: bool = True
-    """False to take orders of earlier terms."""
+    """False to accept orders of earlier terms."""
 
-    taken: int = 0
-    """Orders that it has begun."""
+    orders_accepted: int = 0
+    """Number of accepted orders."""
 
-    runs: int = 0
-    """Plain requests that it works on."""
+    in_progress: int = 0
+    """Plain requests in progress."""
 
-    def note(self, event: str, **facts: Any) -> None:
-        """Append a line to the ledger."""
+    def record(self, event: str, **facts: Any) -> None:
+        """Append an event to the ledger."""
         line = {"event": event, "upstream": self.instance, "at": time.time(), **facts}
         with self.ledger.open("a") as file:
             file.write(json.dumps(line) + "\n")
 
 
-def read_mood(upstream: StandIn) -> dict[str, Any]:
-    """Return how the upstream is to answer now."""
+def read_response_mode(upstream: StandIn) -> dict[str, Any]:
+    """Return the current contents of the response mode file."""
     if upstream.mood is None or not upstream.mood.exists():
         return {}
-    mood: dict[str, Any] = json.loads(upstream.mood.read_text())
-    return mood
+    mode: dict[str, Any] = json.loads(upstream.mood.read_text())
+    return mode
 
 
-def beat(upstream: StandIn) -> dict[str, Any]:
-    """Return the next heartbeat."""
+def heartbeat_body(upstream: StandIn) -> dict[str, Any]:
+    """Return the body of the next heartbeat."""
     upstream.sequence += 1
     body: dict[str, Any] = {
         "service": upstream.pool,
@@ -151,7 +151,7 @@
 
 
 async def call_control(upstream: StandIn, method: str, body: Any) -> bool:
-    """Tell any control box; returns True if one acknowledged."""
+    """Call the control boxes in order until one acknowledges; returns True if one did."""
     async with httpx.AsyncClient(timeout=1.0, trust_env=False) as client:
         for control in upstream.controls:
             url = f"http://{control}/api/replicas/{upstream.instance}"
@@ -164,69 +164,69 @@
     return False
 
 
-async def keep_beating(upstream: StandIn) -> None:
-    """Send heartbeats for ever."""
+async def send_heartbeats(upstream: StandIn) -> None:
+    """Send heartbeats until cancelled."""
     while True:
-        await call_control(upstream, "PUT", beat(upstream))
-        await anyio.sleep(BEAT_SECONDS)
+        await call_control(upstream, "PUT", heartbeat_body(upstream))
+        await anyio.sleep(HEARTBEAT_SECONDS)
 
 
-def echo(upstream: StandIn, request: HttpRequest) -> list[tuple[bytes, bytes]]:
-    """Return the header fields of an answer to a request that ran."""
+def response_headers(upstream: StandIn, request: HttpRequest) -> list[tuple[bytes, bytes]]:
+    """Return the header fields of a response to an executed request."""
     attempt = request.fields.get(b"attempt-id", b"")
-    mood = read_mood(upstream)
-    leaving = [(b"Server-Leaving", b"1")] if mood.get("leaving") else []
-    limit = [(b"Server-Limit", mood["limit"].encode())] if "limit" in mood else []
+    mode = read_response_mode(upstream)
+    draining = [(b"Server-Leaving", b"1")] if mode.get("leaving") else []
+    rate_limit = [(b"Server-Limit", mode["limit"].encode())] if "limit" in mode else []
     return [
         (b"Attempt-Id", attempt),
         (b"Replica-Seal", f"{upstream.instance}.{attempt.decode()}".encode()),
-        (b"Replica-Load", f"{upstream.runs},0,8".encode()),
-        *leaving,
-        *limit,
+        (b"Replica-Load", f"{upstream.in_progress},0,8".encode()),
+        *draining,
+        *rate_limit,
     ]
 
 
-async def refuse_for_rest(
+async def refuse_for_backoff(
     upstream: StandIn, request: HttpRequest, exchange: Exchange, *, to_control: bool = False
 ) -> bool:
-    """Refuse a request, or a call beside requests, if all are to be; returns True then."""
-    rest = read_mood(upstream).get("rest_of_calls" if to_control else "rest")
-    if rest is None:
+    """Refuse a request, or a call from a control box, during a back-off; returns True then."""
+    backoff = read_response_mode(upstream).get("rest_of_calls" if to_control else "rest")
+    if backoff is None:
         return False
     attempt = request.fields.get(b"attempt-id", b"")
-    upstream.note("refused", id=attempt.decode(), pool=upstream.pool)
+    upstream.record("refused", id=attempt.decode(), pool=upstream.pool)
     headers = [(b"Attempt-Id", attempt), (b"Not-Executed", b"1")]
-    headers += [(b"Retry-After", rest.encode())] if rest else []
+    headers += [(b"Retry-After", backoff.encode())] if backoff else []
     await exchange.answer(503, headers, b"")
     return True
 
 
-async def crash_if_told(upstream: StandIn, request: HttpRequest) -> None:
-    """End this process, without a word to anybody, if a request is one that does so."""
+async def crash_on_word(upstream: StandIn, request: HttpRequest) -> None:
+    """Exit without notice if the body of a request contains the crash word."""
     if upstream.crash_word and upstream.crash_word.encode() in request.body:
         await anyio.sleep(CRASH_SECONDS)
-        upstream.note("crash")
+        upstream.record("crash")
         os._exit(1)
 
 
 async def answer_plain(upstream: StandIn, request: HttpRequest, exchange: Exchange) -> None:
-    """Run a plain request."""
-    note_run(upstream, request)
-    await crash_if_told(upstream, request)
-    upstream.runs += 1
+    """Execute a plain request."""
+    record_run(upstream, request)
+    await crash_on_word(upstream, request)
+    upstream.in_progress += 1
     try:
         await anyio.sleep(upstream.seconds)
     finally:
-        upstream.runs -= 1
-    headers = [*echo(upstream, request), (b"Content-Type", b"text/plain")]
+        upstream.in_progress -= 1
+    headers = [*response_headers(upstream, request), (b"Content-Type", b"text/plain")]
     failed = secrets.randbelow(1000) < upstream.fail_share * 1000
     await exchange.answer(500 if failed else 200, headers, b"echo:" + request.body)
 
 
-def note_run(upstream: StandIn, request: HttpRequest) -> None:
-    """Write a run into the ledger."""
+def record_run(upstream: StandIn, request: HttpRequest) -> None:
+    """Record the execution of a request in the ledger."""
     fields = {name.decode(): value.decode("latin-1") for name, value in request.fields.items()}
-    upstream.note(
+    upstream.record(
         "run",
         id=fields.get("attempt-id", ""),
         tenant=fields.get("tenant-name"),
@@ -241,29 +241,29 @@
 
 
 async def answer_stream(upstream: StandIn, request: HttpRequest, exchange: Exchange) -> None:
-    """Run a generation as the first engine of its path.
+    """Stream a generation as the first engine of its path.
 
-    A path that names layers which this engine does not hold is refused as not run. Once another
-    engine of the path is lost, the stream is silent for a while and breaks off.
+    Refuses a path with layers that this engine does not hold. Once another engine of the path is
+    lost, the stream stalls for `STALL_SECONDS` and breaks off.
     """
-    parts = parse_path(request.fields.get(b"path", b"").decode())
-    own = next((part for part in parts if part[0] == upstream.address), None)
+    stages = parse_path(request.fields.get(b"path", b"").decode())
+    own = next((stage for stage in stages if stage[0] == upstream.address), None)
     held = upstream.layers
     if own is None or held is None or own[1] < held[0] or own[2] > held[1]:
         await exchange.answer(421, [(b"At-Server", upstream.address.encode())], b"")
         return
-    note_run(upstream, request)
-    count = int(request.fields.get(b"token-count", b"10,10").partition(b",")[2])
-    resume = int(request.fields.get(b"last-event-id", b"-1"))
-    head = [*echo(upstream, request), (b"Content-Type", b"text/event-stream")]
-    await crash_if_told(upstream, request)
+    record_run(upstream, request)
+    token_count = int(request.fields.get(b"token-count", b"10,10").partition(b",")[2])
+    last_event = int(request.fields.get(b"last-event-id", b"-1"))
+    headers = [*response_headers(upstream, request), (b"Content-Type", b"text/event-stream")]
+    await crash_on_word(upstream, request)
     async with anyio.create_task_group() as tasks:
         broken = anyio.Event()
-        for address, _, _ in parts:
+        for address, _, _ in stages:
             if address != upstream.address:
-                tasks.start_soon(watch_part, address, broken)
+                tasks.start_soon(watch_stage, address, broken)
         started = False
-        for number in range(resume + 1, count):
+        for number in range(last_event + 1, token_count):
             await anyio.sleep(EVENT_SECONDS)
             if broken.is_set():
                 await anyio.sleep(STALL_SECONDS)
@@ -273,16 +273,16 @@
             if started:
                 await exchange.send(event)
             else:
-                await exchange.begin(200, head, event)
+                await exchange.begin(200, headers, event)
                 started = True
         if not started:
-            await exchange.begin(200, head, b"")
+            await exchange.begin(200, headers, b"")
         await exchange.end()
         tasks.cancel_scope.cancel()
 
 
-async def watch_part(address: str, broken: anyio.Event) -> None:
-    """Hold a connection to another engine of the path, and note when it ends."""
+async def watch_stage(address: str, broken: anyio.Event) -> None:
+    """Keep a connection to another engine of the path and set `broken` when it closes."""
     host, _, port = address.rpartition(":")
     try:
         async with await anyio.connect_tcp(host, int(port)) as stream:
@@ -294,7 +294,7 @@
 
 
 def parse_path(text: str) -> list[tuple[str, int, int]]:
-    """Split a path into address, first layer and end.
+    """Split a path into stages of address, first layer and one past the last layer.
 
     >>> parse_path("127.0.0.1:80=0-3,127.0.0.1:81=3-5")
     [('127.0.0.1:80', 0, 3), ('127.0.0.1:81', 3, 5)]
@@ -307,35 +307,36 @@
     return parts
 
 
-async def take_order(upstream: StandIn, request: HttpRequest, exchange: Exchange) -> None:
-    """Take an order to hold layers, which are there at once.
+async def handle_order(upstream: StandIn, request: HttpRequest, exchange: Exchange) -> None:
+    """Accept an order to hold layers, which takes effect at once.
 
-    One of an earlier term is refused if terms are checked, and one that does not follow the newest.
+    Refuses an order of an earlier term if terms are checked, and one that does not follow the
+    newest accepted order.
     """
     body = json.loads(request.body)
     fence = body.get("fence", 0)
     if upstream.checks_fences and fence < upstream.fence:
         await exchange.answer(412, [], b"")
         return
-    wanted = (body["from"], body["targetVersion"])
-    if wanted == upstream.layers:
+    ordered = (body["from"], body["targetVersion"])
+    if ordered == upstream.layers:
         await exchange.answer(200, [], b"")
         return
-    if body.get("expectedRev", upstream.taken) != upstream.taken:
-        upstream.note("late-order", layers=wanted, fence=fence)
+    if body.get("expectedRev", upstream.orders_accepted) != upstream.orders_accepted:
+        upstream.record("late-order", layers=ordered, fence=fence)
         await exchange.answer(409, [], b"")
         return
     upstream.fence = max(fence, upstream.fence)
-    upstream.taken += 1
-    upstream.note("order", layers=wanted, fence=fence)
-    if (wanted[1] - wanted[0]) * LAYER_MB > CARD_MB[upstream.card]:
-        upstream.note("over-limit", layers=wanted)
-    upstream.layers = wanted
+    upstream.orders_accepted += 1
+    upstream.record("order", layers=ordered, fence=fence)
+    if (ordered[1] - ordered[0]) * LAYER_MB > ACCELERATOR_MB[upstream.card]:
+        upstream.record("over-limit", layers=ordered)
+    upstream.layers = ordered
     await exchange.answer(202, [], b"")
 
 
 def build_site(upstream: StandIn) -> HttpSite:
-    """Build what the upstream serves."""
+    """Build the HTTP site of the upstream."""
 
     async def handle(request: HttpRequest, exchange: Exchange) -> None:
         expected = request.fields.get(b"expect-replica")
@@ -343,17 +344,17 @@
             await exchange.answer(421, [(b"Replica-Id", upstream.instance.encode())], b"")
         elif request.target == b"/hold":
             await anyio.sleep_forever()
-        elif request.target.startswith(b"/api/") and await refuse_for_rest(
+        elif request.target.startswith(b"/api/") and await refuse_for_backoff(
             upstream, request, exchange, to_control=True
         ):
             return
         elif request.target == b"/api/report":
-            report = json.dumps({"pace": 1.0, "sequence": upstream.taken, "busy": False})
+            report = json.dumps({"pace": 1.0, "sequence": upstream.orders_accepted, "busy": False})
             content_type = (b"Content-Type", b"application/json")
             await exchange.answer(200, [content_type], report.encode())
         elif request.target == b"/api/order":
-            await take_order(upstream, request, exchange)
-        elif await refuse_for_rest(upstream, request, exchange):
+            await handle_order(upstream, request, exchange)
+        elif await refuse_for_backoff(upstream, request, exchange):
             return
         elif b"token-count" in request.fields:
             await answer_stream(upstream, request, exchange)
@@ -367,22 +368,22 @@
 
 
 async def main(upstream: StandIn) -> None:
-    """Serve until SIGTERM, which announces the end and leaves some seconds later."""
+    """Serve until SIGTERM; then announce draining and exit after `DRAIN_SECONDS`."""
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(serve_http1, upstream.listen, build_site(upstream))
-        tasks.start_soon(keep_beating, upstream)
+        tasks.start_soon(send_heartbeats, upstream)
         with anyio.open_signal_receiver(signal.SIGTERM) as signals:
             async for _ in signals:
                 break
         upstream.state = "draining"
-        acknowledged = await call_control(upstream, "PUT", beat(upstream))
-        upstream.note("draining", acknowledged=acknowledged)
-        await anyio.sleep(LEAVE_SECONDS)
+        acknowledged = await call_control(upstream, "PUT", heartbeat_body(upstream))
+        upstream.record("draining", acknowledged=acknowledged)
+        await anyio.sleep(DRAIN_SECONDS)
         await call_control(upstream, "DELETE", None)
         tasks.cancel_scope.cancel()
 
 
-def parse() -> StandIn:
+def parse_arguments() -> StandIn:
     """Read the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--address", required=True)
@@ -409,4 +410,4 @@
 
 if __name__ == "__main__":
     uvloop.install()
-    anyio.run(main, parse())
+    anyio.run(main, parse_arguments())
--- a/tests/daemons/test_at_most_once.py
+++ b/tests/daemons/test_at_most_once.py
@@ -41,7 +41,7 @@
     source = domain_host(fleet.processes[entry].domain)
     for name in fleet.control_names:
         host = domain_host(fleet.processes[name].domain)
-        fleet.proxy.set_between(source, host, Fault(drop_back=True))
+        fleet.proxy.set_between(source, host, Fault(drop_from_target=True))
 
 
 def test_recorded_answer_is_returned_to_a_retry(healed: Fleet) -> None:
@@ -59,7 +59,7 @@
     source = domain_host(healed.processes[FIRST].domain)
     for name in healed.control_names:
         target = domain_host(healed.processes[name].domain)
-        healed.proxy.set_between(source, target, Fault(drop_forth=True))
+        healed.proxy.set_between(source, target, Fault(drop_to_target=True))
     thread = book_in_background(healed, key, 0.0)
     time.sleep(0.3)
     healed.kill(FIRST)
--- a/tests/daemons/test_gateway.py
+++ b/tests/daemons/test_gateway.py
@@ -226,7 +226,7 @@
         if line["upstream"] == left["upstream"] and line["at"] > left["at"] + 0.5
     ]
     assert not late
-    fleet.wait_end("services-1")
+    fleet.wait_exit("services-1")
     fleet.restart("services-1")
 
 
@@ -247,7 +247,7 @@
             wait_until(lambda: not fleet.ready(2), 3, "unready")
             text += "".join(parts)
     assert text == stream_text(0, 100)
-    assert fleet.wait_end("gateway-2") == 0
+    assert fleet.wait_exit("gateway-2") == 0
     fleet.restart("gateway-2")
     wait_until(lambda: fleet.ready(2), 20, "ready again")
 
@@ -392,7 +392,7 @@
                 assert answer.text == stream_text(0, 30)
     assert statuses
     assert set(statuses) <= {200, 503}
-    assert fleet.wait_end("gateway-1") == 0
+    assert fleet.wait_exit("gateway-1") == 0
     fleet.restart("gateway-1")
     wait_until(lambda: fleet.ready(1), 20, "ready again")
 
--- a/tests/daemons/test_rate_limit_named.py
+++ b/tests/daemons/test_rate_limit_named.py
@@ -54,7 +54,7 @@
     """Upstreams that name nothing, and boxes that have heard so."""
     yield
     for name in fleet.boxes:
-        fleet.set_mood(name)
+        fleet.set_response_mode(name)
         fleet.restart(name)
     wait_until(lambda: all(fleet.ready(item) for item in range(GATEWAYS)), 30, "gateways ready")
 
@@ -117,7 +117,7 @@
     """The pattern: callers come at all boxes at 10 a second each; one upstream names 0.5 a second,
     refuses nothing and stays quick, and the others can serve all."""
     name = serving(fleet, route)
-    fleet.set_mood(name, limit=str(RATE))
+    fleet.set_response_mode(name, limit=str(RATE))
     named_at = time.time()
     statuses = send_over_all(fleet, route, SENDING_SECONDS)
     assert set(statuses) == {200}
@@ -128,7 +128,7 @@
 def test_limit_is_kept_while_boxes_come_and_go(fleet: DiscoveredFleet, trouble: str) -> None:
     """The pattern: the one that kept the sum is gone, and may come back with what it believed."""
     name = serving(fleet, "status")
-    fleet.set_mood(name, limit=str(RATE))
+    fleet.set_response_mode(name, limit=str(RATE))
     named_at = time.time()
 
     def cause() -> None:
@@ -156,7 +156,7 @@
     pool = "engines" if route == "draft" else "services"
     names = [name for name in fleet.boxes if name.startswith(pool)]
     for name in names:
-        fleet.set_mood(name, limit=str(RATE))
+        fleet.set_response_mode(name, limit=str(RATE))
     named_at = time.time()
     send_over_all(fleet, route, SETTLE_SECONDS)
     answers = [send(fleet, route, item % GATEWAYS, deadline_ms=300) for item in range(12)]
--- a/tests/daemons/test_rest_asked_for.py
+++ b/tests/daemons/test_rest_asked_for.py
@@ -58,7 +58,7 @@
     """Upstreams that serve, with no rest left over from the test before."""
     yield
     for name in fleet.boxes:
-        fleet.set_mood(name)
+        fleet.set_response_mode(name)
     time.sleep(REST_SECONDS)
 
 
@@ -83,7 +83,7 @@
     pool = "engines" if route == "draft" else "services"
     names = [name for name in fleet.boxes if name.startswith(pool)]
     for name in names:
-        fleet.set_mood(name, rest=rest)
+        fleet.set_response_mode(name, rest=rest)
     return names
 
 
@@ -132,7 +132,7 @@
 def test_upstream_that_asks_for_rest_gets_it(fleet: DiscoveredFleet, route: str) -> None:
     """The pattern: the nearest upstream refuses and asks for rest, while callers come at 15/s."""
     name = serving(fleet, route)
-    fleet.set_mood(name, rest=str(REST_SECONDS))
+    fleet.set_response_mode(name, rest=str(REST_SECONDS))
     answers = keep_sending(fleet, route, REST_SECONDS)
     refused = arrivals(fleet, "refused", name, 0)
     assert refused, "the upstream was never chosen"
@@ -149,7 +149,7 @@
     asked_at = time.monotonic()
     wait_until(lambda: refused_for_rest(fleet, route), 2, "all resting")
     for name in names:
-        fleet.set_mood(name)
+        fleet.set_response_mode(name)
     answer = send(fleet, route, deadline_ms=SHORT_MS)
     assert answer.status_code == 503
     assert answer.headers["ledgeladder-code"] == RESTING_CODE
@@ -170,7 +170,7 @@
     names = rest_all(fleet, route, str(SHORT_REST_SECONDS))
     wait_until(lambda: refused_for_rest(fleet, route), 2, "all resting")
     for name in names:
-        fleet.set_mood(name)
+        fleet.set_response_mode(name)
     told = float(send(fleet, route, deadline_ms=SHORT_MS).headers.get("retry-after", "0"))
     time.sleep(max(0.0, told - BEFORE_THE_END_SECONDS))
     assert send(fleet, route).status_code == 200
@@ -182,7 +182,7 @@
 ) -> None:
     """The pattern: its heartbeats say that it is ready, and its answers that it leaves, as behind a
     cut from the control boxes."""
-    fleet.set_mood(serving(fleet, route), leaving=True)
+    fleet.set_response_mode(serving(fleet, route), leaving=True)
     answers = keep_sending(fleet, route, REST_SECONDS)
     said = [answer for answer in answers if "server-leaving" in answer.headers]
     assert len(said) == 1
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak; longer ones are run by hand, as docs/testing.md tells."""
+"""A short run of the soak test; docs/testing.md describes longer runs."""
 
 from __future__ import annotations
 
