--- a/src/ledgeladder/daemons/gateway/backpressure.py
+++ b/src/ledgeladder/daemons/gateway/backpressure.py
@@ -7,9 +7,9 @@
 
 import anyio
 
-from ...routing.backpressure import cap_requests, extend_backoff, record_draining
 from ...routing.forwarding_table import estimated_requests, pool_limits
 from ...routing.rate_grants import record_demand
+from ...routing.upstream_wishes import cap_requests, extend_backoff, record_draining
 from ..limit_keeper import record_advertised_rate
 from .state import limit_keeper_of
 
--- a/src/ledgeladder/daemons/gateway/borrowing.py
+++ b/src/ledgeladder/daemons/gateway/borrowing.py
@@ -8,13 +8,13 @@
 import anyio
 
 from ...links.messages import RetryQuotaRequest
-from ...routing.retry_quota import MAX_QUOTA_REQUEST, QUOTA_SECONDS
-from ...routing.retry_window import acquire_local_retry, add_quota
+from ...routing.repeat_loans import MAX_QUOTA_REQUEST, QUOTA_SECONDS
+from ...routing.repeat_window import acquire_local_retry, add_quota
 from .state import PendingQuotaRequest, retry_budget
 
 if TYPE_CHECKING:
     from ...links.messages import RetryQuotaReply
-    from ...routing.retry_window import Retry
+    from ...routing.repeat_window import Retry
     from .state import GatewayState
 
 logger = logging.getLogger(__name__)
--- a/src/ledgeladder/daemons/gateway/plain.py
+++ b/src/ledgeladder/daemons/gateway/plain.py
@@ -25,7 +25,7 @@
 )
 from ...routing.pace import record_gap, stall_timeout
 from ...routing.rate_grants import any_limited
-from ...routing.retry_window import record_first_try, release_retry
+from ...routing.repeat_window import record_first_try, release_retry
 from ...routing.service_choice import choose_service
 from .backpressure import request_grants
 from .borrowing import acquire_retry
@@ -48,7 +48,7 @@
 if TYPE_CHECKING:
     from ...http1 import Exchange, HttpRequest
     from ...routing.forwarding_table import ForwardedUpstream
-    from ...routing.retry_window import Retry
+    from ...routing.repeat_window import Retry
     from .notes import RequestTrace
     from .state import GatewayState
 
--- a/src/ledgeladder/daemons/gateway/state.py
+++ b/src/ledgeladder/daemons/gateway/state.py
@@ -22,7 +22,7 @@
 )
 from ...routing.link_load import LinkLoad
 from ...routing.pace import Pace
-from ...routing.retry_window import RetryWindow
+from ...routing.repeat_window import RetryWindow
 from ...routing.route_index import RouteIndex
 from ...routing.suspected_links import SuspectedLinks
 from ...routing.wait_queue import WaitQueue
--- a/src/ledgeladder/daemons/gateway/stream.py
+++ b/src/ledgeladder/daemons/gateway/stream.py
@@ -11,7 +11,7 @@
 from ...platform.exchange import caller_headers
 from ...routing.event_stream import EventOrder
 from ...routing.pace import record_gap
-from ...routing.retry_window import record_first_try, release_retry
+from ...routing.repeat_window import record_first_try, release_retry
 from ...routing.stream_patience import stream_timeouts
 from .borrowing import acquire_retry
 from .checks import Permit, refusal
--- a/src/ledgeladder/daemons/registry/lending.py
+++ b/src/ledgeladder/daemons/registry/lending.py
@@ -13,8 +13,8 @@
 from ...coordination.rate_limit import LEADER_CONTACT_SECONDS
 from ...links import post_to_all
 from ...links.messages import RetryQuotaReply
-from ...routing.retry_quota import BASE_QUOTA_SHARE, QuotaLedger, grant_quota
-from ...routing.retry_window import USABLE_SHARE
+from ...routing.repeat_loans import BASE_QUOTA_SHARE, QuotaLedger, grant_quota
+from ...routing.repeat_window import USABLE_SHARE
 from ..rate_lender import RateGranter
 from .published_version import version_age
 
--- a/src/ledgeladder/daemons/registry/state.py
+++ b/src/ledgeladder/daemons/registry/state.py
@@ -23,7 +23,7 @@
     from ...links.messages import CommandReply, VersionQuery
     from ...model.registration import Registration
     from ...model.traffic import TrafficConfiguration
-    from ...routing.retry_quota import QuotaLedger
+    from ...routing.repeat_loans import QuotaLedger
     from ...settings import RegistrySettings
     from ..control.node import ControlNode
     from ..peers import Peers
--- a/src/ledgeladder/routing/forwarding_table.py
+++ b/src/ledgeladder/routing/forwarding_table.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from ..model.registration import Registration, UpstreamState, estimate_start
-from .backpressure import Backpressure, BackpressureTable, find_backpressure
 from .load_sharing import LOAD_VALID_SECONDS
 from .rate_grants import GrantedLimit, GrantedLimitTable, grant_wait, has_grant
+from .upstream_wishes import Backpressure, BackpressureTable, find_backpressure
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
--- a/src/ledgeladder/routing/retry_window.py
+++ b/src/ledgeladder/routing/repeat_window.py
@@ -1,4 +1,4 @@
-"""A shared budget of repeats over a sliding window: a box's own part, and what it is lent."""
+"""Limits retries over a sliding window to a box's own share and the quota granted to it."""
 
 from __future__ import annotations
 
@@ -7,61 +7,60 @@
 
 import msgspec
 
-from .retry_quota import BASE_QUOTA_SHARE
+from .repeat_loans import BASE_QUOTA_SHARE
 
 USABLE_SHARE: Final = 0.8
-"""Part of the allowed share of repeats that a box uses: requests that never arrived here still
-count for the budget, but those of others may be fewer than they seem."""
+"""Part of its allowance that a box uses; the rest is a safety margin."""
 
 MIN_ENTRIES: Final = 4
-"""Entry boxes that are assumed at least, until control boxes have told how many there are."""
+"""Minimum number of entry boxes assumed, since their real number is unknown at the start."""
 
 
 class Retry(NamedTuple):
-    """One repeat that was spent."""
+    """One retry taken from the budget."""
 
     quota_until: float | None
-    """Until when it might have been spent, if it was lent; None for one of the box's own part."""
+    """When the granted quota expires, on the monotonic clock; None for the box's own share."""
 
 
 class RetryWindow(msgspec.Struct, kw_only=True):
-    """Arrivals at one pool's upstreams that this box caused, in a sliding window."""
+    """Requests and retries that this box sent to one pool's upstreams in a sliding window."""
 
     ratio: float
-    """Repeats that all boxes together may make for each request."""
+    """Retries allowed per request."""
 
     reserve: float
-    """Repeats that all boxes together may make besides, in one window."""
+    """Further retries that all boxes together may make in one window."""
 
     seconds: float
     """Length of the window, in seconds."""
 
     first_tries: deque[float] = msgspec.field(default_factory=deque)
-    """When requests were first sent, on the monotonic clock, oldest first."""
+    """Times of first tries, on the monotonic clock, oldest first."""
 
     retries: deque[float] = msgspec.field(default_factory=deque)
-    """When they were sent again out of the own part, likewise."""
+    """Times of retries from the box's own share, on the monotonic clock, oldest first."""
 
     quota: deque[float] = msgspec.field(default_factory=deque)
-    """Until when each repeat that was lent may be spent, on the monotonic clock, soonest first."""
+    """Expiry of each granted retry, on the monotonic clock, soonest first."""
 
 
 def record_first_try(window: RetryWindow, now: float) -> None:
-    """Note that a request was sent for the first time."""
+    """Record the first try of a request."""
     window.first_tries.append(now)
     _expire(window, now)
 
 
 def acquire_local_retry(window: RetryWindow, now: float, entries: int) -> Retry | None:
-    """Spend one repeat, out of the own part first.
+    """Take one retry from the box's own share, or else from its granted quota.
 
     Args:
         window: The budget.
         now: Monotonic time.
-        entries: Entry boxes among which the floor of the reserve is split.
+        entries: Number of entry boxes that share the base quota.
 
     Returns:
-        The repeat; None if nothing is left, and the request must not be sent again.
+        The retry; None if none is left, in which case the request must not be retried.
     """
     _expire(window, now)
     base = window.reserve * BASE_QUOTA_SHARE / max(entries, MIN_ENTRIES)
@@ -73,15 +72,15 @@
 
 
 def add_quota(window: RetryWindow, count: int, until: float) -> None:
-    """Take in repeats that were lent, to be spent until a monotonic time."""
+    """Add granted retries that expire at a monotonic time."""
     window.quota.extend([until] * count)
 
 
 def release_retry(window: RetryWindow, retry: Retry) -> None:
-    """Take back a repeat that could not be sent: only what arrives at upstreams counts.
+    """Return a retry that never reached an upstream.
 
-    After a loss, half of the tries of a box end at engines that refuse connections. Counting them
-    would spend half of the budget in the seconds in which it is needed.
+    After a loss, many tries end in refused connections. Counting them would use up the budget when
+    it is needed most.
     """
     if retry.quota_until is not None:
         window.quota.appendleft(retry.quota_until)
--- a/tests/daemons/gateway/test_borrowing.py
+++ b/tests/daemons/gateway/test_borrowing.py
@@ -12,7 +12,7 @@
 from ledgeladder.daemons.gateway.borrowing import acquire_retry, handle_quota_reply
 from ledgeladder.daemons.gateway.state import GatewayState
 from ledgeladder.links.messages import RetryQuotaReply, RetryQuotaRequest
-from ledgeladder.routing.retry_window import Retry
+from ledgeladder.routing.repeat_window import Retry
 
 from .builders import gateway_state
 
--- a/tests/daemons/gateway/test_plain.py
+++ b/tests/daemons/gateway/test_plain.py
@@ -15,7 +15,7 @@
 from ledgeladder.http1 import connect
 from ledgeladder.model.traffic import RequestKind
 from ledgeladder.routing.forwarding_table import put_registration
-from ledgeladder.routing.retry_window import RetryWindow
+from ledgeladder.routing.repeat_window import RetryWindow
 
 from .builders import engine, gateway_state
 
--- a/tests/routing/rest_bed.py
+++ b/tests/routing/rest_bed.py
@@ -15,7 +15,6 @@
 
 from ledgeladder.model.exchange import UpstreamLoad
 from ledgeladder.model.registration import Registration
-from ledgeladder.routing.backpressure import BackpressureTable, cap_requests, extend_backoff
 from ledgeladder.routing.forwarding_table import (
     ForwardedUpstream,
     apply_peer_load,
@@ -27,6 +26,7 @@
 )
 from ledgeladder.routing.load_sharing import report_interval
 from ledgeladder.routing.service_choice import choose_service
+from ledgeladder.routing.upstream_wishes import BackpressureTable, cap_requests, extend_backoff
 
 from .virtual_time import VirtualTime
 
--- a/tests/routing/test_forwarding.py
+++ b/tests/routing/test_forwarding.py
@@ -26,7 +26,7 @@
     record_loss,
     record_success,
 )
-from ledgeladder.routing.retry_window import RetryWindow, acquire_local_retry, record_first_try
+from ledgeladder.routing.repeat_window import RetryWindow, acquire_local_retry, record_first_try
 from ledgeladder.routing.route_index import build_index, choose_pool, find_route
 
 
--- a/tests/routing/test_paths.py
+++ b/tests/routing/test_paths.py
@@ -9,7 +9,6 @@
 import pytest
 
 from ledgeladder.model.registration import Holding, Registration, UpstreamState
-from ledgeladder.routing.backpressure import extend_backoff
 from ledgeladder.routing.forwarding_table import (
     SLOWDOWN_VALID_SECONDS,
     ForwardedUpstream,
@@ -38,6 +37,7 @@
     link_penalties,
     suspect_links,
 )
+from ledgeladder.routing.upstream_wishes import extend_backoff
 
 from .sample_site import CARDS, DOMAINS, PROFILE, placed_fleet
 
--- a/tests/routing/test_backpressure.py
+++ b/tests/routing/test_upstream_wishes.py
@@ -7,15 +7,6 @@
 import pytest
 
 from ledgeladder.model.registration import Registration, UpstreamState
-from ledgeladder.routing.backpressure import (
-    MAX_KEPT_UPSTREAMS,
-    MAX_REQUESTS_BACKOFFS,
-    Backpressure,
-    BackpressureTable,
-    cap_requests,
-    extend_backoff,
-    record_draining,
-)
 from ledgeladder.routing.forwarding_table import (
     ForwardedUpstream,
     ForwardingTable,
@@ -30,6 +21,15 @@
     record_success,
 )
 from ledgeladder.routing.service_choice import choose_service
+from ledgeladder.routing.upstream_wishes import (
+    MAX_KEPT_UPSTREAMS,
+    MAX_REQUESTS_BACKOFFS,
+    Backpressure,
+    BackpressureTable,
+    cap_requests,
+    extend_backoff,
+    record_draining,
+)
 
 HEARTBEAT = 1.0
 
