--- a/tests/routing/virtual_time.py
+++ b/tests/routing/virtual_time.py
@@ -1,4 +1,4 @@
-"""Time that passes only as events are played."""
+"""Discrete-event simulation with a virtual clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class VirtualTime:
-    """Plays events in the order of their moments; of two at one moment, the one noted first."""
+    """Runs events in order of time; simultaneous events run in order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -19,11 +19,11 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
 
     def at(self, when: float, action: Callable[[], None]) -> None:
-        """Do something at a moment, in seconds."""
+        """Schedule an action at a time, in seconds."""
         heapq.heappush(self.events, (when, next(self.numbers), action))
 
     def run_until(self, seconds: float) -> None:
-        """Play all events up to a moment."""
+        """Run all events up to a time, in seconds."""
         while self.events and self.events[0][0] <= seconds:
             self.now, _number, action = heapq.heappop(self.events)
             action()
