--- a/tests/routing/rest_bed.py
+++ b/tests/routing/backoff_simulation.py
@@ -1,10 +1,9 @@
-"""Plain services that refuse and ask for rest, in virtual time, with the real choice of a service.
+"""Simulates plain services that refuse requests and ask for back-off, with the real service choice.
 
-Boxes send requests to services with slots and a short queue. A service refuses what its queue does
-not hold, or a share of all requests during a fault, and asks the box for rest. A refused request is
-sent to the next service; where none is left, its caller is told when to come back, and does so
-once, in the time that it has. Each box knows its own requests at once and the load that a service
-told in its last answer, as the gateways do.
+A service refuses requests beyond its queue, or a share of all requests during a fault, and asks the
+box for back-off. The box then sends a refused request to the next service. If none is left, the
+caller retries once within its deadline. As in a gateway, a box knows its own requests in flight and
+the load that a service reported in its last answer.
 """
 
 from __future__ import annotations
@@ -34,31 +33,31 @@
     from collections.abc import Callable, Sequence
 
 SLOTS: Final = 6
-QUEUE: Final = 6
-"""Requests that a service works on at once, and that wait beside."""
+QUEUE_SLOTS: Final = 6
+"""Requests that a service queues beyond those that it runs concurrently."""
 
 WORK_SECONDS: Final = 0.045
-"""Time that a request takes, as on the users' sites."""
+"""Time that a service takes to run a request."""
 
 ONE_WAY_SECONDS: Final = (0.0002, 0.00095)
-"""Time of a message inside a failure domain and between two."""
+"""Latency of a message within a failure domain and between two."""
 
 CONTROLS: Final = 3
-"""Control boxes that add up loads."""
+"""Number of control boxes, which aggregate loads."""
 
 DEADLINE_SECONDS: Final = 2.5
-"""How long a caller waits in all."""
+"""How long a caller waits in total."""
 
 REFUSED_RETRY_SECONDS: Final = 0.25
-"""What a caller is told where services refused and asked for nothing."""
+"""Retry time for a caller when no service asked for back-off."""
 
-ON_THE_WAY_SECONDS: Final = 0.5
-"""How long after it was asked for rest a box may still have requests on their way."""
+IN_TRANSIT_SECONDS: Final = 0.5
+"""How long requests of a box may still be in transit after it was asked for back-off."""
 
 
 @dataclass(kw_only=True)
 class Fault:
-    """A time in which some services refuse a share of all requests."""
+    """A period in which some services refuse a share of all requests."""
 
     start: float
     end: float
@@ -77,7 +76,7 @@
 
 @dataclass(kw_only=True)
 class Service:
-    """One service."""
+    """A plain service with its running and queued requests."""
 
     number: int
     domain: str
@@ -87,29 +86,29 @@
 
 @dataclass(kw_only=True)
 class Outcome:
-    """What became of everybody."""
+    """Counts of what happened to requests."""
 
     served: int = 0
     """Requests that were served."""
 
     seconds: float = 0.0
-    """Their times from arrival to answer, summed up."""
+    """Sum of their times from arrival to answer."""
 
-    came_back: int = 0
-    """Requests whose caller was told to come back once."""
+    retried: int = 0
+    """Requests that their callers retried."""
 
-    lost: int = 0
-    """Requests that were not served in the end."""
+    unserved: int = 0
+    """Requests that were never served."""
 
     refusals: int = 0
     """Requests that services refused."""
 
-    in_rest: int = 0
-    """Those that came while a service wanted nothing from their box."""
+    during_backoff: int = 0
+    """Requests that reached a service during the back-off of their box."""
 
 
-class RestBed(VirtualTime):
-    """Plays requests, refusals and rests."""
+class BackoffSimulation(VirtualTime):
+    """Simulates requests, refusals and back-offs."""
 
     def __init__(
         self,
@@ -118,9 +117,9 @@
         services: int,
         rate: Callable[[float], float],
         faults: Sequence[Fault] = (),
-        rest_seconds: float = 3.0,
-        obeys: bool = True,
-        bounds: bool = True,
+        backoff_seconds: float = 3.0,
+        honors_backoff: bool = True,
+        caps_requests: bool = True,
         seed: int = 0,
     ) -> None:
         super().__init__()
@@ -128,26 +127,30 @@
         self.services = [
             Service(number=number, domain=f"d{number % 3}") for number in range(services)
         ]
-        self.views = [self.view_of_all() for _ in range(boxes)]
-        self.books = [BackpressureTable() for _ in range(boxes)]
-        self.asked: dict[tuple[int, int], tuple[float, float]] = {}
+        self.views = [self.build_view() for _ in range(boxes)]
+        self.tables = [BackpressureTable() for _ in range(boxes)]
+        self.backoffs: dict[tuple[int, int], tuple[float, float]] = {}
         self.rate, self.faults = rate, faults
-        self.rest_seconds, self.obeys, self.bounds = rest_seconds, obeys, bounds
+        self.backoff_seconds, self.honors_backoff, self.caps_requests = (
+            backoff_seconds,
+            honors_backoff,
+            caps_requests,
+        )
         self.outcome = Outcome()
         self.at(0.0, self.arrive)
-        self.at(0.0, self.tell_loads)
+        self.at(0.0, self.broadcast_loads)
 
-    def tell_loads(self) -> None:
-        """Tell all boxes what the requests of all of them take on each service."""
-        self.at(self.now + report_interval(len(self.views), CONTROLS), self.tell_loads)
+    def broadcast_loads(self) -> None:
+        """Broadcast the total load of each service to all boxes."""
+        self.at(self.now + report_interval(len(self.views), CONTROLS), self.broadcast_loads)
         for item in self.services:
             total = sum(pool[item.number].in_flight for pool in self.views)
             for pool in self.views:
                 pool[item.number].reported_in_flight = pool[item.number].in_flight
                 apply_peer_load(pool[item.number], total, 0.0, self.now)
 
-    def view_of_all(self) -> list[ForwardedUpstream]:
-        """Return what one box knows of the services."""
+    def build_view(self) -> list[ForwardedUpstream]:
+        """Return the services as one box knows them."""
         return [
             ForwardedUpstream(
                 registration=Registration(
@@ -162,18 +165,18 @@
             for item in self.services
         ]
 
-    def play(self, seconds: float) -> Outcome:
-        """Play until a moment."""
+    def simulate(self, seconds: float) -> Outcome:
+        """Run the simulation up to a time and return the outcome."""
         self.run_until(seconds)
         return self.outcome
 
     def arrive(self) -> None:
-        """Begin a request at any box."""
+        """Start a request at a random box."""
         self.at(self.now + self.rng.expovariate(self.rate(self.now)), self.arrive)
         self.send(self.rng.randrange(len(self.views)), Request(arrived_at=self.now))
 
     def send(self, box: int, request: Request) -> None:
-        """Send a request to the best service that is left, or refuse it."""
+        """Send a request to the best service not yet tried, or refuse it."""
         pool = self.views[box]
         chosen = choose_service(
             pool,
@@ -189,15 +192,15 @@
         request.tried.add(chosen.registration.instance)
         chosen.in_flight += 1
         service = self.services[int(chosen.registration.instance)]
-        way = ONE_WAY_SECONDS[service.domain != f"d{box % 3}"]
-        self.at(self.now + way, lambda: self.reach(box, chosen, service, request, way))
+        latency = ONE_WAY_SECONDS[service.domain != f"d{box % 3}"]
+        self.at(self.now + latency, lambda: self.receive(box, chosen, service, request, latency))
 
-    def reach(
-        self, box: int, view: ForwardedUpstream, service: Service, request: Request, way: float
+    def receive(
+        self, box: int, view: ForwardedUpstream, service: Service, request: Request, latency: float
     ) -> None:
-        """Have a service take a request, let it wait, or refuse it."""
-        asked_at, until = self.asked.get((box, service.number), (0.0, 0.0))
-        self.outcome.in_rest += asked_at + ON_THE_WAY_SECONDS < self.now < until
+        """Run, queue or refuse a request at a service."""
+        requested_at, until = self.backoffs.get((box, service.number), (0.0, 0.0))
+        self.outcome.during_backoff += requested_at + IN_TRANSIT_SECONDS < self.now < until
 
         def work() -> None:
             service.running += 1
@@ -207,20 +210,20 @@
             service.running -= 1
             if service.waiting:
                 service.waiting.pop(0)()
-            self.at(self.now + way, lambda: self.answer(view, service, request))
+            self.at(self.now + latency, lambda: self.handle_answer(view, service, request))
 
         if self.is_refused(service):
-            self.asked[box, service.number] = (self.now, self.now + self.rest_seconds)
+            self.backoffs[box, service.number] = (self.now, self.now + self.backoff_seconds)
             self.outcome.refusals += 1
-            self.at(self.now + way, lambda: self.take_refusal(box, view, service, request))
+            self.at(self.now + latency, lambda: self.handle_refusal(box, view, service, request))
         elif service.running < SLOTS:
             work()
         else:
             service.waiting.append(work)
 
     def is_refused(self, service: Service) -> bool:
-        """Tell whether a service refuses the request that has come."""
-        if len(service.waiting) >= QUEUE:
+        """Return whether a service refuses the request that has arrived."""
+        if len(service.waiting) >= QUEUE_SLOTS:
             return True
         return any(
             fault.start <= self.now < fault.end
@@ -229,42 +232,46 @@
             for fault in self.faults
         )
 
-    def answer(self, view: ForwardedUpstream, service: Service, request: Request) -> None:
-        """Take in a good answer."""
+    def handle_answer(self, view: ForwardedUpstream, service: Service, request: Request) -> None:
+        """Handle a successful answer."""
         view.in_flight -= 1
         record_success(view)
-        self.take_load(view, service)
+        self.record_service_load(view, service)
         self.outcome.served += 1
         self.outcome.seconds += self.now - request.arrived_at
 
-    def take_refusal(
+    def handle_refusal(
         self, box: int, view: ForwardedUpstream, service: Service, request: Request
     ) -> None:
-        """Take in a refusal, and send the request on."""
+        """Handle a refusal, and send the request to the next service."""
         view.in_flight -= 1
         record_full(view, self.now)
-        self.take_load(view, service)
-        if self.obeys:
-            if self.bounds:
-                held = estimated_requests(view, self.now, len(self.views))
-                cap_requests(view.backpressure, held, SLOTS, self.rest_seconds, self.now)
+        self.record_service_load(view, service)
+        if self.honors_backoff:
+            if self.caps_requests:
+                estimated = estimated_requests(view, self.now, len(self.views))
+                cap_requests(view.backpressure, estimated, SLOTS, self.backoff_seconds, self.now)
             extend_backoff(
-                self.books[box], view.registration, view.backpressure, self.rest_seconds, self.now
+                self.tables[box],
+                view.registration,
+                view.backpressure,
+                self.backoff_seconds,
+                self.now,
             )
         self.send(box, request)
 
-    def take_load(self, view: ForwardedUpstream, service: Service) -> None:
+    def record_service_load(self, view: ForwardedUpstream, service: Service) -> None:
         load = UpstreamLoad(running=service.running, waiting=len(service.waiting), slots=SLOTS)
         record_load(view, load, self.now)
 
-    def refuse(self, request: Request, rest: float | None) -> None:
-        """Tell a caller to come back, which it does once, to any box, if it has the time."""
-        wait = REFUSED_RETRY_SECONDS if rest is None else rest
-        left = request.arrived_at + DEADLINE_SECONDS - self.now
-        if request.attempts > 1 or wait > left:
-            self.outcome.lost += 1
+    def refuse(self, request: Request, wait_seconds: float | None) -> None:
+        """Refuse a request, which its caller retries once at any box if its deadline allows."""
+        wait = REFUSED_RETRY_SECONDS if wait_seconds is None else wait_seconds
+        remaining = request.arrived_at + DEADLINE_SECONDS - self.now
+        if request.attempts > 1 or wait > remaining:
+            self.outcome.unserved += 1
             return
-        self.outcome.came_back += 1
+        self.outcome.retried += 1
         request.attempts += 1
         request.tried = set()
         box = self.rng.randrange(len(self.views))
--- a/tests/routing/crash_bed.py
+++ b/tests/routing/crash_bed.py
@@ -1,10 +1,9 @@
-"""Crashes in virtual time: what a request that ends its engines costs, and what innocent ones lose.
+"""Simulates a request that crashes its engines, and its effect on other requests.
 
-Boxes send streams to engines, which take time to begin and to run. One content ends each engine
-that runs it; its caller sends it again and again, to any box. Engines may also end by chance. All
-that runs on an engine that ends is cut and sent on to the best one, as the gateways do, until a
-content is held. Which engine is the best is simplified: the fastest with the least to do. The book
-of ends is the real one, and all boxes share it at once.
+One request content crashes each engine that runs it, and its caller keeps retrying it at any box.
+Engines may also crash at random. Streams on a crashed engine are retried on the best one, as by the
+gateways, until their request content is quarantined. The choice of the engine is simplified; the
+crash table is the real one, shared by all boxes without delay.
 """
 
 from __future__ import annotations
@@ -25,52 +24,52 @@
 if TYPE_CHECKING:
     pass
 
-BEGIN_SECONDS = (0.03, 0.15)
-"""Time from the sending of a run to its first token, least and most."""
+FIRST_TOKEN_SECONDS = (0.03, 0.15)
+"""Minimum and maximum time from the start of an attempt to its first token."""
 
 STREAM_SECONDS = 2.0
-"""Mean time that a stream runs."""
+"""Mean duration of a stream after its first token."""
 
 CRASH_SECONDS = (0.035, 0.095)
-"""Time from the first token of the content to blame to the end of its engine."""
+"""Minimum and maximum time from the first token of the crashing request to the crash."""
 
-BACK_SECONDS = 10.0
-"""Time until an engine serves again."""
+RESTART_SECONDS = 10.0
+"""Time until a crashed engine serves again."""
 
-COME_BACK_SECONDS = (0.5, 8.0)
-"""Time after which the content to blame comes again."""
+RETRY_SECONDS = (0.5, 8.0)
+"""Minimum and maximum time until the crashing request is retried."""
 
 
 @dataclass(kw_only=True)
 class Stream:
-    """One request."""
+    """A streaming request."""
 
-    content: bytes
-    guilty: bool = False
+    fingerprint: bytes
+    crashes_engine: bool = False
 
 
 @dataclass(kw_only=True)
 class Outcome:
-    """What became of everybody."""
+    """Counts of what happened to engines and streams."""
 
-    ended_by_content: int = 0
-    """Engines that the content to blame ended."""
+    crashed_engines: int = 0
+    """Engines that the crashing request crashed."""
 
-    cut: int = 0
-    """Runs of innocent streams that were cut."""
+    interrupted: int = 0
+    """Attempts of innocent streams that a crash interrupted."""
 
     served: int = 0
-    """Innocent streams that were served in the end."""
+    """Innocent streams that were served."""
 
-    held: int = 0
-    """Innocent streams that were refused as one to blame."""
+    quarantined: int = 0
+    """Innocent streams that were refused because their content was quarantined."""
 
     unplaced: int = 0
-    """Streams for which no engine was left."""
+    """Streams for which no engine was running."""
 
 
-class CrashBed(VirtualTime):
-    """Plays streams, crashes and what follows from them."""
+class CrashSimulation(VirtualTime):
+    """Simulates streams, crashes, retries and quarantine."""
 
     def __init__(
         self,
@@ -79,106 +78,107 @@
         engines: int,
         streams_per_second: float,
         seed: int,
-        guilty: bool = True,
-        chance_crash_seconds: float = 0.0,
+        crashes_engine: bool = True,
+        random_crash_seconds: float = 0.0,
     ) -> None:
         super().__init__()
         self.limit = limit
         self.rng = random.Random(seed)
         self.running: dict[int, list[Stream]] = {number: [] for number in range(engines)}
-        self.life: dict[int, int] = dict.fromkeys(range(engines), 0)
-        self.book = CrashTable()
-        self.held: set[bytes] = set()
+        self.incarnations: dict[int, int] = dict.fromkeys(range(engines), 0)
+        self.table = CrashTable()
+        self.quarantined: set[bytes] = set()
         self.outcome = Outcome()
         self.rate = streams_per_second
-        self.chance_crash_seconds = chance_crash_seconds
+        self.random_crash_seconds = random_crash_seconds
         self.at(0.0, self.arrive)
-        if guilty:
-            self.at(3.0, self.come)
-        if chance_crash_seconds:
-            self.at(3.0, self.crash_by_chance)
+        if crashes_engine:
+            self.at(3.0, self.send_crashing_request)
+        if random_crash_seconds:
+            self.at(3.0, self.crash_at_random)
 
-    def play(self, seconds: float) -> Outcome:
-        """Play until a moment."""
+    def simulate(self, seconds: float) -> Outcome:
+        """Run the simulation up to a time and return the outcome."""
         self.run_until(seconds)
         return self.outcome
 
     def arrive(self) -> None:
-        """Begin an innocent stream."""
+        """Start an innocent stream."""
         self.at(self.now + self.rng.expovariate(self.rate), self.arrive)
-        content = next(self.numbers).to_bytes(8, "big")
-        self.send(Stream(content=content))
+        fingerprint = next(self.numbers).to_bytes(8, "big")
+        self.send(Stream(fingerprint=fingerprint))
 
-    def come(self) -> None:
-        """Send the content to blame once more."""
-        self.at(self.now + self.rng.uniform(*COME_BACK_SECONDS), self.come)
-        self.send(Stream(content=b"guilty", guilty=True))
+    def send_crashing_request(self) -> None:
+        """Send the crashing request, and schedule its retry."""
+        self.at(self.now + self.rng.uniform(*RETRY_SECONDS), self.send_crashing_request)
+        self.send(Stream(fingerprint=b"guilty", crashes_engine=True))
 
-    def crash_by_chance(self) -> None:
-        """End an engine for no reason."""
-        self.at(self.now + self.chance_crash_seconds, self.crash_by_chance)
+    def crash_at_random(self) -> None:
+        """Crash a random engine."""
+        self.at(self.now + self.random_crash_seconds, self.crash_at_random)
         if self.running:
-            self.end_engine(self.rng.choice(list(self.running)))
+            self.crash_engine(self.rng.choice(list(self.running)))
 
     def send(self, stream: Stream) -> None:
-        """Send a stream, or refuse it if its content is held."""
-        if stream.content in self.held:
-            self.outcome.held += not stream.guilty
+        """Run a stream, or refuse it if its content is quarantined."""
+        if stream.fingerprint in self.quarantined:
+            self.outcome.quarantined += not stream.crashes_engine
             return
         self.run(stream)
 
     def run(self, stream: Stream) -> None:
-        """Run a stream on an engine."""
+        """Run a stream on the best engine."""
         if not self.running:
             self.outcome.unplaced += 1
             return
-        # The fast engines are the first fifth, and are taken while they have less to do.
+        # Every fifth engine is fast, and its load is weighted accordingly.
         best = min(
             self.running,
-            key=lambda name: (
-                len(self.running[name]) / (5.0 if name % 5 == 0 else 1.0) + self.rng.random() * 0.3
+            key=lambda number: (
+                len(self.running[number]) / (5.0 if number % 5 == 0 else 1.0)
+                + self.rng.random() * 0.3
             ),
         )
         self.running[best].append(stream)
-        begin = self.rng.uniform(*BEGIN_SECONDS)
-        life = self.life[best]
-        if stream.guilty:
-            after = begin + self.rng.uniform(*CRASH_SECONDS)
-            self.at(self.now + after, lambda: self.crash(best, life))
+        first_token = self.rng.uniform(*FIRST_TOKEN_SECONDS)
+        incarnation = self.incarnations[best]
+        if stream.crashes_engine:
+            delay = first_token + self.rng.uniform(*CRASH_SECONDS)
+            self.at(self.now + delay, lambda: self.crash_by_request(best, incarnation))
         else:
-            after = begin + self.rng.expovariate(1.0 / STREAM_SECONDS)
-            self.at(self.now + after, lambda: self.complete(best, life, stream))
+            delay = first_token + self.rng.expovariate(1.0 / STREAM_SECONDS)
+            self.at(self.now + delay, lambda: self.complete(best, incarnation, stream))
 
-    def complete(self, name: int, life: int, stream: Stream) -> None:
-        """End a stream that was served."""
-        if self.life[name] != life:
+    def complete(self, number: int, incarnation: int, stream: Stream) -> None:
+        """Complete a stream, unless its engine has crashed meanwhile."""
+        if self.incarnations[number] != incarnation:
             return
-        self.running[name].remove(stream)
+        self.running[number].remove(stream)
         self.outcome.served += 1
-        clear_crashes(self.book, stream.content)
-
-    def crash(self, name: int, life: int) -> None:
-        """End an engine by the content to blame, unless it has ended meanwhile."""
-        if self.life[name] == life:
-            self.outcome.ended_by_content += 1
-            self.end_engine(name)
-
-    def end_engine(self, name: int) -> None:
-        """Cut all that runs on an engine, note it, and send it on."""
-        cut = self.running.pop(name)
-        life = self.life[name]
-        self.life[name] = -1
-        instance = f"{name}-{life}"
-        for stream in cut:
-            self.outcome.cut += not stream.guilty
-            record_crash(self.book, stream.content, instance)
-            if crash_count(self.book, stream.content) >= self.limit:
-                self.held.add(stream.content)
-        for stream in cut:
+        clear_crashes(self.table, stream.fingerprint)
+
+    def crash_by_request(self, number: int, incarnation: int) -> None:
+        """Crash an engine by the crashing request, unless it has crashed meanwhile."""
+        if self.incarnations[number] == incarnation:
+            self.outcome.crashed_engines += 1
+            self.crash_engine(number)
+
+    def crash_engine(self, number: int) -> None:
+        """Crash an engine, record the crash for its streams, and retry them."""
+        interrupted = self.running.pop(number)
+        incarnation = self.incarnations[number]
+        self.incarnations[number] = -1
+        instance = f"{number}-{incarnation}"
+        for stream in interrupted:
+            self.outcome.interrupted += not stream.crashes_engine
+            record_crash(self.table, stream.fingerprint, instance)
+            if crash_count(self.table, stream.fingerprint) >= self.limit:
+                self.quarantined.add(stream.fingerprint)
+        for stream in interrupted:
             self.send(stream)
 
-        def back() -> None:
-            self.life[name] = life + 1
-            self.running[name] = []
+        def restart() -> None:
+            self.incarnations[number] = incarnation + 1
+            self.running[number] = []
 
-        self.at(self.now + BACK_SECONDS, back)
+        self.at(self.now + RESTART_SECONDS, restart)
