--- a/src/ledgeladder/daemons/entry/attempt.py
+++ b/src/ledgeladder/daemons/entry/attempt.py
@@ -25,7 +25,7 @@
 )
 from ..clock import now
 from ..limit_keeper import record_advertised_rate
-from .context import limit_keeper_of
+from .context import rate_limiter_of
 from .metrics import record_duration
 from .watching import responds_to_probe
 
@@ -193,7 +193,7 @@
     head, sent_at = session.route.head.upstream, now()
 
     def record_rate(advertised: AdvertisedRate | None) -> None:
-        record_advertised_rate(limit_keeper_of(context), head, advertised, sent_at, is_own=True)
+        record_advertised_rate(rate_limiter_of(context), head, advertised, sent_at, is_own=True)
 
     try:
         async with aclosing(run_on_engine(context.client, run, record_rate)) as batches:
--- a/src/ledgeladder/daemons/entry/context.py
+++ b/src/ledgeladder/daemons/entry/context.py
@@ -93,7 +93,7 @@
     send_to_controls: Callable[[LinkMessage], None] = lambda _message: None
     """Sends a message to all connected control boxes."""
 
-    limit_keeper: RateLimiter | None = None
+    rate_limiter: RateLimiter | None = None
     """Observes rate limits that upstreams advertise; None until the links are built."""
 
     budget: RetryBudget = msgspec.field(default_factory=RetryBudget)
@@ -118,10 +118,10 @@
     """Number of requests that were not completely answered yet."""
 
 
-def limit_keeper_of(context: EntryContext) -> RateLimiter:
+def rate_limiter_of(context: EntryContext) -> RateLimiter:
     """Return the rate limiter; the links must be built."""
-    assert context.limit_keeper is not None
-    return context.limit_keeper
+    assert context.rate_limiter is not None
+    return context.rate_limiter
 
 
 def apply_configuration(context: EntryContext, configuration: Configuration) -> bool:
--- a/src/ledgeladder/daemons/entry/follower.py
+++ b/src/ledgeladder/daemons/entry/follower.py
@@ -25,7 +25,7 @@
     VersionHead,
 )
 from ..limit_keeper import handle_limit_message
-from .context import apply_configuration, limit_keeper_of, run_in_background
+from .context import apply_configuration, rate_limiter_of, run_in_background
 from .crashes import handle_quarantine_message
 from .gate import forward_order
 
@@ -89,7 +89,7 @@
                     continue
                 if control and handle_quarantine_message(context, message):
                     continue
-                if control and handle_limit_message(limit_keeper_of(context), message):
+                if control and handle_limit_message(rate_limiter_of(context), message):
                     continue
                 handle_version_message(context, link, message)
                 follower.answered.add(box)
--- a/src/ledgeladder/daemons/entry/generation.py
+++ b/src/ledgeladder/daemons/entry/generation.py
@@ -22,7 +22,7 @@
 from ...upstreams.engine import CancelRequest, cancel_on_engine
 from ..clock import now
 from .attempt import AttemptOutcome, AttemptResult, Emit, Generation, Progress, run_attempt
-from .context import limit_keeper_of, run_in_background
+from .context import rate_limiter_of, run_in_background
 from .crashes import may_retry, record_answered, record_crash
 from .watching import probe_failure_domain
 
@@ -152,7 +152,7 @@
         if view.upstream.model == request.pipeline.model
     ]
     if record_demand(limits, now()):
-        limit_keeper_of(context).wake.set()
+        rate_limiter_of(context).wake.set()
 
 
 def _refuse_if_backing_off(context: EntryContext, request: Generation) -> None:
--- a/src/ledgeladder/daemons/entry/main.py
+++ b/src/ledgeladder/daemons/entry/main.py
@@ -116,7 +116,7 @@
     )
     follower = Follower()
     context.send_to_controls = lambda message: send_to_controls(follower, message)
-    limiter = context.limit_keeper = RateLimiter(
+    limiter = context.rate_limiter = RateLimiter(
         table=context.upstreams.limits,
         attach=lambda name, limit: set_limit(context.upstreams, name, limit),
         control_links=lambda: control_links(follower),
--- a/src/ledgeladder/daemons/entry/service_calls.py
+++ b/src/ledgeladder/daemons/entry/service_calls.py
@@ -34,7 +34,7 @@
 from ..limit_keeper import record_advertised_rate
 from .checks import Permit, refusal
 from .command_client import commit
-from .context import limit_keeper_of, run_in_background
+from .context import rate_limiter_of, run_in_background
 from .crashes import may_retry, record_answered, record_crash, refuse_quarantined
 
 if TYPE_CHECKING:
@@ -115,7 +115,7 @@
 def _choose_service(context: EntryContext, permit: Permit, tried: set[str]) -> UpstreamView | None:
     services = _services(context, permit)
     if record_demand([view.limit for view in services], now()):
-        limit_keeper_of(context).wake.set()
+        rate_limiter_of(context).wake.set()
     candidates = [
         view for view in services if view.upstream.name not in tried and is_usable(view, now())
     ]
@@ -131,7 +131,7 @@
     sent_at = now()
     if not acquire_grants([view.limit], sent_at):
         raise ServiceCallError(Execution.NOT_RUN, "it takes no more requests in this second")
-    limiter, name = limit_keeper_of(context), view.upstream.name
+    limiter, name = rate_limiter_of(context), view.upstream.name
     view.in_flight += 1
     try:
         with anyio.fail_after(max(0.0, permit.deadline - now())):
--- a/src/ledgeladder/daemons/gateway/backpressure.py
+++ b/src/ledgeladder/daemons/gateway/backpressure.py
@@ -11,7 +11,7 @@
 from ...routing.rate_grants import record_demand
 from ...routing.upstream_wishes import cap_requests, extend_backoff, record_draining
 from ..limit_keeper import record_advertised_rate
-from .state import limit_keeper_of
+from .state import rate_limiter_of
 
 if TYPE_CHECKING:
     from ...model.exchange import AnswerFacts
@@ -46,7 +46,7 @@
     instance = upstream.registration.instance
     is_own = facts.signed or facts.not_run
     record_advertised_rate(
-        limit_keeper_of(state), instance, facts.advertised_rate, sent_at, is_own=is_own
+        rate_limiter_of(state), instance, facts.advertised_rate, sent_at, is_own=is_own
     )
     if facts.draining and record_draining(
         state.table.backpressure, upstream.registration, upstream.backpressure
@@ -115,7 +115,7 @@
 def request_grants(state: GatewayState, pool: str) -> None:
     """Record demand for a pool, and wake the limit keeper if rate grants are missing."""
     if record_demand(pool_limits(state.table, pool), anyio.current_time()):
-        limit_keeper_of(state).wake.set()
+        rate_limiter_of(state).wake.set()
 
 
 async def log_backoff_ends(state: GatewayState) -> None:
--- a/src/ledgeladder/daemons/gateway/control_link.py
+++ b/src/ledgeladder/daemons/gateway/control_link.py
@@ -53,7 +53,7 @@
 from .borrowing import handle_quota_reply
 from .crashes import handle_quarantine_update, handle_suspect_update
 from .loss_updates import confirm_loss, handle_loss_update
-from .state import limit_keeper_of, record_entry_count
+from .state import rate_limiter_of, record_entry_count
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -115,7 +115,7 @@
                 case RetryQuotaReply():
                     handle_quota_reply(state, message)
                 case RateLimitUpdate() | GrantReply():
-                    handle_limit_message(limit_keeper_of(state), message)
+                    handle_limit_message(rate_limiter_of(state), message)
                 case LoadTotals():
                     _apply_load_totals(
                         state, unpack_loads(order, message.index_number, message.loads)
--- a/src/ledgeladder/daemons/gateway/main.py
+++ b/src/ledgeladder/daemons/gateway/main.py
@@ -22,7 +22,7 @@
 from .control_link import serve_control_link
 from .metrics import metrics_lines
 from .readiness import build_ready_site
-from .state import GatewayState, build_admission_queue, limit_keeper_of
+from .state import GatewayState, build_admission_queue, rate_limiter_of
 from .waiting import run_queue
 
 if TYPE_CHECKING:
@@ -117,7 +117,7 @@
         Child(name="rests", run=lambda: log_backoff_ends(state), restart=Restart.ALWAYS),
         Child(
             name="limits",
-            run=lambda: run_rate_limiter(limit_keeper_of(state)),
+            run=lambda: run_rate_limiter(rate_limiter_of(state)),
             restart=Restart.ALWAYS,
         ),
         log_child(),
--- a/src/ledgeladder/daemons/gateway/state.py
+++ b/src/ledgeladder/daemons/gateway/state.py
@@ -234,8 +234,8 @@
     peers: Peers | None = None
     """Links to control boxes."""
 
-    limit_keeper: RateLimiter | None = None
-    """Enforces the rate limits that upstreams name, in requests per second."""
+    rate_limiter: RateLimiter | None = None
+    """Enforces the rate limits that upstreams advertise, in requests per second."""
 
     stopping: bool = False
     """True once a planned stop has begun."""
@@ -247,7 +247,7 @@
     """True once a planned stop has timed out and cancels the requests in progress."""
 
     def __post_init__(self) -> None:
-        self.limit_keeper = RateLimiter(
+        self.rate_limiter = RateLimiter(
             table=self.table.limits,
             attach=lambda instance, limit: set_limit(self.table, instance, limit),
             control_links=lambda: list(self.peers.links.values()) if self.peers is not None else [],
@@ -264,10 +264,10 @@
         return self.configuration.limits if self.configuration is not None else CallerLimits()
 
 
-def limit_keeper_of(state: GatewayState) -> RateLimiter:
-    """Return the limit keeper, which is set once the state is built."""
-    assert state.limit_keeper is not None
-    return state.limit_keeper
+def rate_limiter_of(state: GatewayState) -> RateLimiter:
+    """Return the rate limiter, which is set once the state is built."""
+    assert state.rate_limiter is not None
+    return state.rate_limiter
 
 
 def build_admission_queue(settings: GatewaySettings) -> AdmissionQueue:
--- a/tests/daemons/gateway/test_rate_limits.py
+++ b/tests/daemons/gateway/test_rate_limits.py
@@ -12,7 +12,7 @@
 from ledgeladder.daemons import limit_keeper
 from ledgeladder.daemons.gateway import upstream_call
 from ledgeladder.daemons.gateway.backpressure import handle_backpressure, request_grants
-from ledgeladder.daemons.gateway.state import GatewayState, limit_keeper_of
+from ledgeladder.daemons.gateway.state import GatewayState, rate_limiter_of
 from ledgeladder.daemons.gateway.upstream_call import BackpressureError, open_answer
 from ledgeladder.daemons.limit_keeper import apply_limits, handle_grant_reply, run_rate_limiter
 from ledgeladder.links.frames import LENGTH_PREFIX, decode_payload
@@ -127,12 +127,12 @@
 def test_update_of_a_control_box_limits_an_upstream_that_registers_later() -> None:
     async def play() -> None:
         state, _upstream, _boxes = linked()
-        apply_limits(limit_keeper_of(state), {"i-9": NAMED})
+        apply_limits(rate_limiter_of(state), {"i-9": NAMED})
         known = put_registration(state.table, engine("i-9", "127.0.0.1:9").registration, 0.0)
         assert known is not None
         assert not accepts_work(known, anyio.current_time())
         apply_limits(
-            limit_keeper_of(state),
+            rate_limiter_of(state),
             {"i-9": ReportedLimit(rate=2.0, advertised_age=9.0, withdrawn_age=0.0)},
         )
         assert known.limit is not None
@@ -143,7 +143,7 @@
 
 async def run_keeper(state: GatewayState, seconds: float) -> None:
     with anyio.move_on_after(seconds):
-        await run_rate_limiter(limit_keeper_of(state))
+        await run_rate_limiter(rate_limiter_of(state))
 
 
 def test_box_reports_limits_and_requests_grants_once_a_second(
@@ -174,12 +174,12 @@
         request_grants(state, "")
         await run_keeper(state, 0.05)
         call = next(request.call for box in boxes for request in box.requests)
-        handle_grant_reply(limit_keeper_of(state), reply(call, 1))
+        handle_grant_reply(rate_limiter_of(state), reply(call, 1))
         assert accepts_work(upstream, anyio.current_time())
         assert not accepts_work(upstream, state.table.limits.requested_at + GRANT_TTL_SECONDS)
         # A duplicate reply, or one to an unknown request, grants nothing.
-        handle_grant_reply(limit_keeper_of(state), reply(call, 1))
-        handle_grant_reply(limit_keeper_of(state), reply(99, 1))
+        handle_grant_reply(rate_limiter_of(state), reply(call, 1))
+        handle_grant_reply(rate_limiter_of(state), reply(99, 1))
         assert upstream.limit is not None
         assert len(upstream.limit.grants) <= 1
 
@@ -197,8 +197,8 @@
         request_grants(state, "")
         await run_keeper(state, 0.05)
         call = boxes[0].requests[0].call
-        limit_keeper_of(state).requested_at[call] -= GRANT_TTL_SECONDS
-        handle_grant_reply(limit_keeper_of(state), reply(call, 1))
+        rate_limiter_of(state).requested_at[call] -= GRANT_TTL_SECONDS
+        handle_grant_reply(rate_limiter_of(state), reply(call, 1))
         assert not accepts_work(upstream, anyio.current_time())
 
     anyio.run(play)
