--- a/src/ledgeladder/daemons/gateway/backpressure.py
+++ b/src/ledgeladder/daemons/gateway/backpressure.py
@@ -113,7 +113,7 @@
 
 
 def request_grants(state: GatewayState, pool: str) -> None:
-    """Record demand for a pool, and wake the limit keeper if rate grants are missing."""
+    """Record demand for a pool, and wake the rate limiter if rate grants are missing."""
     if record_demand(pool_limits(state.table, pool), anyio.current_time()):
         rate_limiter_of(state).wake.set()
 
