--- a/src/ledgeladder/daemons/limit_keeper.py
+++ b/src/ledgeladder/daemons/limit_keeper.py
@@ -108,10 +108,10 @@
 
 
 def _record_advertised(limiter: RateLimiter, upstream: str, rate: float, now: float) -> None:
-    held = limiter.table.limits.get(upstream)
-    if held is None:
+    granted_limit = limiter.table.limits.get(upstream)
+    if granted_limit is None:
         _start_limiting(limiter, upstream, RateLimit(rate=rate, advertised_at=now))
-    elif not record_rate(held.limit, rate, now):
+    elif not record_rate(granted_limit.limit, rate, now):
         return
     logger.warning(
         "upstream advertised a rate limit", extra={"upstream": upstream, "rate": rate, "age": 0.0}
@@ -120,8 +120,8 @@
 
 
 def _record_withdrawn(limiter: RateLimiter, upstream: str, sent_at: float, now: float) -> None:
-    held = limiter.table.limits.get(upstream)
-    if held is None or not record_no_rate(held.limit, sent_at, now):
+    granted_limit = limiter.table.limits.get(upstream)
+    if granted_limit is None or not record_no_rate(granted_limit.limit, sent_at, now):
         return
     logger.info("upstream withdrew its rate limit", extra={"upstream": upstream, "age": 0.0})
     _schedule_update(limiter, upstream)
@@ -134,8 +134,8 @@
 
 def _start_limiting(limiter: RateLimiter, upstream: str, limit: RateLimit) -> None:
     """Start to limit an upstream, even if it is not known yet."""
-    held = limiter.table.limits[upstream] = GrantedLimit(limit=limit)
-    limiter.attach(upstream, held)
+    granted_limit = limiter.table.limits[upstream] = GrantedLimit(limit=limit)
+    limiter.attach(upstream, granted_limit)
 
 
 def handle_limit_message(limiter: RateLimiter, message: LinkMessage) -> bool:
@@ -158,13 +158,13 @@
     """Merge limits that a control box reports."""
     now = anyio.current_time()
     for upstream, reported in limits.items():
-        held = limiter.table.limits.get(upstream)
-        if held is None:
+        granted_limit = limiter.table.limits.get(upstream)
+        if granted_limit is None:
             limit = from_reported(reported, now)
             if is_expired(limit, now):
                 continue
             _start_limiting(limiter, upstream, limit)
-        elif not merge_reported(held.limit, reported, now):
+        elif not merge_reported(granted_limit.limit, reported, now):
             continue
         _log_reported(upstream, limiter.table.limits[upstream].limit, now)
     if limits:
@@ -189,10 +189,10 @@
     if requested_at is None or now >= requested_at + GRANT_TTL_SECONDS:
         return
     for upstream, grant in reply.grants.items():
-        held = limiter.table.limits.get(upstream)
-        if held is not None:
-            held.wait_until = now + grant.wait
-            add_grants(held, grant.count, requested_at + GRANT_TTL_SECONDS)
+        granted_limit = limiter.table.limits.get(upstream)
+        if granted_limit is not None:
+            granted_limit.wait_until = now + grant.wait
+            add_grants(granted_limit, grant.count, requested_at + GRANT_TTL_SECONDS)
 
 
 async def run_rate_limiter(limiter: RateLimiter) -> None:
@@ -216,9 +216,9 @@
 
 def _send_updates(limiter: RateLimiter, links: list[Link], now: float) -> None:
     limits = {
-        upstream: to_reported(held.limit, now)
+        upstream: to_reported(granted_limit.limit, now)
         for upstream in limiter.pending_updates
-        if (held := limiter.table.limits.get(upstream)) is not None
+        if (granted_limit := limiter.table.limits.get(upstream)) is not None
     }
     limiter.pending_updates.clear()
     if limits:
@@ -232,9 +232,9 @@
     The remainder goes to each in turn.
     """
     wanted = {
-        upstream: held
-        for upstream, held in limiter.table.limits.items()
-        if held.demand and is_limited(held, now)
+        upstream: granted_limit
+        for upstream, granted_limit in limiter.table.limits.items()
+        if granted_limit.demand and is_limited(granted_limit, now)
     }
     if not wanted or not links:
         return
@@ -243,8 +243,13 @@
         call for call, at in limiter.requested_at.items() if now - at >= GRANT_TTL_SECONDS
     ]:
         del limiter.requested_at[call]
-    counts = {upstream: grants_to_request(held) for upstream, held in wanted.items()}
-    limits = {upstream: to_reported(held.limit, now) for upstream, held in wanted.items()}
+    counts = {
+        upstream: grants_to_request(granted_limit) for upstream, granted_limit in wanted.items()
+    }
+    limits = {
+        upstream: to_reported(granted_limit.limit, now)
+        for upstream, granted_limit in wanted.items()
+    }
     turn = limiter.last_call
     for number, link in enumerate(links):
         shares = {
@@ -255,27 +260,29 @@
         if shares:
             limiter.last_call += 1
             limiter.requested_at[limiter.last_call] = now
-            asked = {upstream: limits[upstream] for upstream in shares}
-            link.post(GrantRequest(call=limiter.last_call, counts=shares, limits=asked))
+            requested_limits = {upstream: limits[upstream] for upstream in shares}
+            link.post(GrantRequest(call=limiter.last_call, counts=shares, limits=requested_limits))
 
 
 def _log_sent(limiter: RateLimiter) -> None:
-    for upstream, held in limiter.table.limits.items():
-        if held.sent or held.granted:
+    for upstream, granted_limit in limiter.table.limits.items():
+        if granted_limit.sent or granted_limit.granted:
             logger.info(
                 "sent under a limit",
                 extra={
                     "upstream": upstream,
-                    "rate": held.limit.rate,
-                    "sent": held.sent,
-                    "lent": held.granted,
+                    "rate": granted_limit.limit.rate,
+                    "sent": granted_limit.sent,
+                    "lent": granted_limit.granted,
                 },
             )
-        held.sent = held.granted = 0
+        granted_limit.sent = granted_limit.granted = 0
 
 
 def _drop_expired(limiter: RateLimiter, now: float) -> None:
     limits = limiter.table.limits
-    for upstream in [name for name, held in limits.items() if is_expired(held.limit, now)]:
+    for upstream in [
+        name for name, granted_limit in limits.items() if is_expired(granted_limit.limit, now)
+    ]:
         del limits[upstream]
         limiter.attach(upstream, None)
