--- a/tests/coordination/test_rate_lending.py
+++ b/tests/coordination/test_rate_lending.py
@@ -51,14 +51,14 @@
 
 
 class Simulation:
-    """Boxes and voters in virtual time; each box asks one voter a second, as the gateway does."""
+    """Boxes and voters in virtual time; each box requests grants once a second, as gateways do."""
 
     def __init__(self, seed: int, *, rate: float, boxes: int, voters: int) -> None:
         self.rng = random.Random(seed)
         self.rate, self.voters = rate, voters
         self.ledgers = [RateLedger(limit=unexpiring(rate), refilled_at=0.0) for _ in range(voters)]
-        self.held = [GrantedLimit(limit=unexpiring(rate)) for _ in range(boxes)]
-        self.asked_at = [self.rng.uniform(-REQUEST_INTERVAL_SECONDS, 0.0) for _ in range(boxes)]
+        self.limits = [GrantedLimit(limit=unexpiring(rate)) for _ in range(boxes)]
+        self.requested_at = [self.rng.uniform(-REQUEST_INTERVAL_SECONDS, 0.0) for _ in range(boxes)]
         self.replies: deque[tuple[float, int, float, int]] = deque()
         self.calls = 0
         self.sent: list[float] = []
@@ -74,30 +74,30 @@
         if self.has_faults:
             self.inject_faults(now)
         while self.replies and self.replies[0][0] <= now:
-            _at, box, asked_at, count = self.replies.popleft()
-            if now < asked_at + GRANT_TTL_SECONDS:
-                add_grants(self.held[box], count, asked_at + GRANT_TTL_SECONDS)
+            _at, box, requested_at, count = self.replies.popleft()
+            if now < requested_at + GRANT_TTL_SECONDS:
+                add_grants(self.limits[box], count, requested_at + GRANT_TTL_SECONDS)
         for box, probability in enumerate(callers):
             if self.rng.random() >= probability:
                 continue
-            self.held[box].demand += 1
-            if acquire_grants([self.held[box]], now):
+            self.limits[box].demand += 1
+            if acquire_grants([self.limits[box]], now):
                 self.sent.append(now)
-        for box, held in enumerate(self.held):
-            if held.demand and now - self.asked_at[box] >= REQUEST_INTERVAL_SECONDS:
-                self.ask(box, now)
+        for box, granted_limit in enumerate(self.limits):
+            if granted_limit.demand and now - self.requested_at[box] >= REQUEST_INTERVAL_SECONDS:
+                self.request_grants(box, now)
 
-    def ask(self, box: int, now: float) -> None:
-        self.asked_at[box] = now
-        wanted = grants_to_request(self.held[box])
+    def request_grants(self, box: int, now: float) -> None:
+        self.requested_at[box] = now
+        wanted = grants_to_request(self.limits[box])
         turn = self.calls
         for number, voter in enumerate(self.ledgers):
             share = split_evenly(wanted, (number + turn) % self.voters, self.voters)
             if share:
                 self.calls += 1
-                self.ask_voter(voter, box, share, now)
+                self.request_from_voter(voter, box, share, now)
 
-    def ask_voter(self, voter: RateLedger, box: int, share: int, now: float) -> None:
+    def request_from_voter(self, voter: RateLedger, box: int, share: int, now: float) -> None:
         if self.has_faults and self.rng.random() < 0.2:
             return  # Partition: the message is lost.
         count = grant_requests(voter, share, self.voters, now)
@@ -111,7 +111,7 @@
                 limit=unexpiring(self.rate), refilled_at=now
             )
         if self.rng.random() < 0.01:
-            self.held[self.rng.randrange(len(self.held))] = GrantedLimit(
+            self.limits[self.rng.randrange(len(self.limits))] = GrantedLimit(
                 limit=unexpiring(self.rate)
             )
 
--- a/tests/daemons/gateway/test_checks.py
+++ b/tests/daemons/gateway/test_checks.py
@@ -23,12 +23,12 @@
     """Guards against a retry delay that ends before startup, after which callers give up."""
     state = gateway_state()
 
-    async def ask() -> ProblemError:
+    async def request() -> ProblemError:
         state.started_at = anyio.current_time() - uptime
         with pytest.raises(ProblemError) as refused:
             permit_request(state, None, None)  # type: ignore[arg-type]
         return refused.value
 
-    problem = anyio.run(ask).problem
+    problem = anyio.run(request).problem
     assert problem.code is ResultCode.STARTING
     assert problem.retry_after == pytest.approx(expected, abs=0.05)
--- a/tests/daemons/gateway/test_slowdown_queries.py
+++ b/tests/daemons/gateway/test_slowdown_queries.py
@@ -34,12 +34,12 @@
         async with anyio.create_task_group() as tasks:
             listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
             port = listener.extra(SocketAttribute.local_port)
-            asked_engine = engine(address=f"127.0.0.1:{port}")
+            queried_engine = engine(address=f"127.0.0.1:{port}")
             tasks.start_soon(listener.serve, serve)
-            state, path = gateway_state(), path_over(asked_engine)
+            state, path = gateway_state(), path_over(queried_engine)
             for _ in range(times):
                 await query_slowdowns(state, path)
-            factor = slow_factor(asked_engine, anyio.current_time())
+            factor = slow_factor(queried_engine, anyio.current_time())
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
