--- a/tests/daemons/test_crashing_request.py
+++ b/tests/daemons/test_crashing_request.py
@@ -1,12 +1,7 @@
-"""A request that ends every upstream that runs it, over real processes.
-
-What was seen: 17 engines of 33 ended within 40 s, one after the other, and a third of all callers
-were not served. How it came about: one request ended its engine some tens of milliseconds after it
-began to run. The box sent it on to the next engine, and so on until the budget of repeats was
-spent; its caller sent it again, to other boxes, which began anew. Cause: a run whose engine had
-died did not count, and no box knew what another had learnt of the same content. Proof: the crashed
-runs of one attempt in the logs of one box, and the crashed runs of one content under several
-attempts.
+"""Quarantine of a request that crashes every upstream that runs it, over real processes.
+
+Guards against one request content crashing one upstream after the other: crashed attempts count for
+the content under any attempt id and at every box.
 """
 
 from __future__ import annotations
@@ -27,25 +22,25 @@
 
 CRASH_WORD = "ends-its-upstream"
 
-CRASHES = 3
-"""Upstreams that one content may end before it is sent nowhere."""
+CRASH_LIMIT = 3
+"""Upstreams that one content may crash before it is quarantined."""
 
-LATE_RUNS = 3
-"""Runs that may come before every box knows that."""
+MAX_EXTRA_RUNS = 3
+"""Further runs that may start before every box knows of the quarantine."""
 
 ATTEMPTS = 9
-"""Times that the caller comes again, to all boxes in turn."""
+"""Attempts of the caller, sent to the gateways in turn."""
 
 
 @pytest.fixture(scope="module", params=[False, True], ids=["new-ids", "same-ids"])
 def fleet(request: pytest.FixtureRequest) -> Iterator[DiscoveredFleet]:
-    """A system whose upstreams start again under new ids, or under those that they had."""
+    """A system whose upstreams restart under new ids or under the same ids."""
     with running_discovered_fleet(crash_word=CRASH_WORD, keep_ids=request.param) as running:
         yield running
 
 
 def send(fleet: DiscoveredFleet, route: str, body: str, gateway: int) -> httpx.Response | None:
-    """Send one attempt; None if its answer was broken off."""
+    """Send one attempt; returns None if the connection failed or the answer was cut off."""
     fields = {
         "Host": HOST,
         "Attempt-Id": secrets.token_hex(8),
@@ -62,43 +57,43 @@
 
 
 def is_served(fleet: DiscoveredFleet, route: str) -> bool:
-    """Tell whether every gateway serves a request that does no harm."""
+    """Return whether every gateway serves a request that crashes no upstream."""
     answers = (send(fleet, route, secrets.token_hex(4), item) for item in range(fleet.gateways))
     return all(answer is not None and answer.status_code == 200 for answer in answers)
 
 
-def bring_back(fleet: DiscoveredFleet) -> None:
-    """Start the upstreams again that have ended, as their platform does."""
+def restart_upstreams(fleet: DiscoveredFleet) -> None:
+    """Restart the upstreams, as their platform does with those that exited."""
     for name in list(fleet.boxes):
         if name.startswith(("engines", "services")):
             fleet.restart(name)
 
 
 @pytest.mark.parametrize("route", ["draft", "status", "preview"])
-def test_content_that_ends_upstreams_is_sent_to_few_of_them(
+def test_content_that_crashes_upstreams_reaches_few_of_them(
     fleet: DiscoveredFleet, route: str
 ) -> None:
-    """The pattern: the same content under new attempt ids, at every box, for as long as its caller
-    likes; on streams, repeatable requests and those that may run once."""
+    """The same content arrives under new attempt ids at every box, as a stream, as a repeatable
+    request and as one that may run once."""
     body = f"{CRASH_WORD} {route}"
     answers: list[httpx.Response | None] = []
     for number in range(ATTEMPTS):
         wait_until(lambda: is_served(fleet, route), 30, f"{route} served")
         answers.append(send(fleet, route, body, number % fleet.gateways))
-        bring_back(fleet)
-    # From some attempt on its callers are told at once that it was not run, and when to come back:
-    # in a moment until the control boxes have confirmed that its upstreams ended, then much later.
+        restart_upstreams(fleet)
+    # The last attempts are refused as not run. Retry-After is short until the control boxes have
+    # confirmed that the upstreams exited, then much longer.
     for answer in answers[-fleet.gateways :]:
         assert_refused(answer)
 
-    def is_held(gateway: int) -> bool:
+    def is_quarantined(gateway: int) -> bool:
         answer = send(fleet, route, body, gateway)
         return float(assert_refused(answer).headers["retry-after"]) > 60
 
     for gateway in range(fleet.gateways):
-        wait_until(lambda: is_held(gateway), 20, "content held")  # noqa: B023
+        wait_until(lambda: is_quarantined(gateway), 20, "content quarantined")  # noqa: B023
     runs = [line for line in fleet.ledger() if line["body"] == body]
-    assert CRASHES <= len(runs) <= CRASHES + LATE_RUNS
+    assert CRASH_LIMIT <= len(runs) <= CRASH_LIMIT + MAX_EXTRA_RUNS
 
 
 def assert_refused(answer: httpx.Response | None) -> httpx.Response:
@@ -109,21 +104,21 @@
     return answer
 
 
-def test_content_stays_held_over_a_loss_of_all_boxes(fleet: DiscoveredFleet) -> None:
-    """The pattern: the same content comes again after all boxes were killed at the same moment."""
+def test_content_stays_quarantined_when_all_boxes_are_killed(fleet: DiscoveredFleet) -> None:
+    """The same content arrives again after all boxes were killed at the same time."""
     body = f"{CRASH_WORD} after a loss of all boxes"
     wait_until(lambda: is_served(fleet, "status"), 30, "status served")
     for number in range(ATTEMPTS):
         send(fleet, "status", body, number % fleet.gateways)
-        bring_back(fleet)
+        restart_upstreams(fleet)
         wait_until(lambda: is_served(fleet, "status"), 30, "status served")
 
-    def is_held(gateway: int) -> bool:
+    def is_quarantined(gateway: int) -> bool:
         answer = send(fleet, "status", body, gateway)
-        held = answer is not None and answer.status_code == 503
-        return held and float(answer.headers["retry-after"]) > 60  # type: ignore[union-attr]
+        refused = answer is not None and answer.status_code == 503
+        return refused and float(answer.headers["retry-after"]) > 60  # type: ignore[union-attr]
 
-    wait_until(lambda: is_held(0), 20, "content held")
+    wait_until(lambda: is_quarantined(0), 20, "content quarantined")
     runs = len([line for line in fleet.ledger() if line["body"] == body])
     boxes = [name for name in fleet.boxes if name.startswith(("registry", "gateway"))]
     for name in boxes:
@@ -131,5 +126,5 @@
     for name in boxes:
         fleet.restart(name)
     for gateway in range(fleet.gateways):
-        wait_until(lambda: is_held(gateway), 30, "content held again")  # noqa: B023
+        wait_until(lambda: is_quarantined(gateway), 30, "content quarantined again")  # noqa: B023
     assert len([line for line in fleet.ledger() if line["body"] == body]) == runs
--- a/tests/daemons/test_rate_limit_named.py
+++ b/tests/daemons/test_rate_limit_named.py
@@ -1,11 +1,7 @@
-"""Upstreams that name how many requests a second they take from all boxes together.
-
-What was seen: an engine that named 1.9 requests a second went on getting 6 a second, over eight
-boxes. It refused none and stayed quick, so that callers and alerts noticed nothing. How it came
-about: each box chose by load and speed, by which it was the best engine. Cause: no code read the
-figure that answers name, and what an upstream asks of all boxes together had no place in what a box
-knows; each box by itself could not keep to it either. Proof: boxes log that the limit is named, and
-go on sending; the sum of what the upstream sees, over all boxes, against the figure.
+"""Upstreams that advertise how many requests a second they accept from all boxes together.
+
+Guards against exceeding that rate: boxes that choose by load and speed alone, or that each apply
+the full rate, send too much to an upstream that refuses nothing.
 """
 
 from __future__ import annotations
@@ -20,26 +16,26 @@
 
 from standins.discovered_fleet import DiscoveredFleet, running_discovered_fleet, wait_until
 
-from .test_rest_asked_for import PAUSE_SECONDS, send, serving
+from .test_rest_asked_for import SEND_INTERVAL_SECONDS, send, serving_upstream
 
 GATEWAYS = 3
 
-RATE = 0.5
-"""Requests a second that are named."""
+ADVERTISED_RATE = 0.5
+"""Requests a second that an upstream advertises."""
 
 SETTLE_SECONDS = 3.0
-"""How long after it was first named a limit may be passed, while boxes learn of it."""
+"""How long the rate may be exceeded after it was first advertised, while boxes learn of it."""
 
-SPAN_SECONDS = 4.0
-"""Length of the spans in which requests are counted."""
+WINDOW_SECONDS = 4.0
+"""Length of the windows in which requests are counted."""
 
-MOST = 1.5 * RATE * SPAN_SECONDS + 5
-"""Requests that may arrive in any of them."""
+MAX_REQUESTS = 1.5 * ADVERTISED_RATE * WINDOW_SECONDS + 5
+"""Requests that may arrive in any window."""
 
 SENDING_SECONDS = 12.0
 
 LIMITED_CODE = "1208"
-"""Result code of a request that the upstreams for it take no more of."""
+"""Result code of a request whose upstreams have all reached their rate."""
 
 
 @pytest.fixture(scope="module")
@@ -50,8 +46,8 @@
 
 
 @pytest.fixture(autouse=True)
-def settled(fleet: DiscoveredFleet) -> Iterator[None]:
-    """Upstreams that name nothing, and boxes that have heard so."""
+def reset_upstreams(fleet: DiscoveredFleet) -> Iterator[None]:
+    """Restart all upstreams and boxes without a rate and wait until all routes are served."""
     yield
     for name in fleet.boxes:
         fleet.set_response_mode(name)
@@ -60,82 +56,84 @@
 
     def all_serve() -> bool:
         pairs = [(route, item) for route in ("status", "draft") for item in range(GATEWAYS)]
-        return all(_answers(fleet, route, item) == 200 for route, item in pairs)
+        return all(_status(fleet, route, item) == 200 for route, item in pairs)
 
     wait_until(all_serve, 10, "all serve")
     time.sleep(SETTLE_SECONDS)
 
 
-def _answers(fleet: DiscoveredFleet, route: str, gateway: int) -> int:
+def _status(fleet: DiscoveredFleet, route: str, gateway: int) -> int:
     try:
         return send(fleet, route, gateway).status_code
     except httpx.HTTPError:
         return 0
 
 
-def send_over_all(
-    fleet: DiscoveredFleet, route: str, seconds: float, trouble: Callable[[], None] | None = None
+def send_to_all_gateways(
+    fleet: DiscoveredFleet, route: str, seconds: float, fault: Callable[[], None] | None = None
 ) -> list[int]:
-    """Send requests through all gateways side by side, and cause trouble after a third of the time.
+    """Send requests through all gateways concurrently and inject a fault after a third of the time.
 
     Returns:
-        Statuses of the answers; 0 for a gateway that does not answer.
+        HTTP statuses of the answers; 0 where a gateway did not answer.
     """
     until = time.monotonic() + seconds
     statuses: list[int] = []
 
     def keep_sending(number: int) -> None:
         while time.monotonic() < until:
-            statuses.append(_answers(fleet, route, number))
-            time.sleep(PAUSE_SECONDS)
+            statuses.append(_status(fleet, route, number))
+            time.sleep(SEND_INTERVAL_SECONDS)
 
     threads = [threading.Thread(target=keep_sending, args=(item,)) for item in range(GATEWAYS)]
     for thread in threads:
         thread.start()
     time.sleep(seconds / 3)
-    if trouble is not None:
-        trouble()
+    if fault is not None:
+        fault()
     for thread in threads:
         thread.join()
     return statuses
 
 
-def runs_on(fleet: DiscoveredFleet, name: str, since: float) -> list[float]:
-    """Return when requests came to an upstream since a time, oldest first."""
+def run_times(fleet: DiscoveredFleet, name: str, since: float) -> list[float]:
+    """Return when an upstream began to run requests since a time, oldest first."""
     ids = fleet.upstream_ids(name)
     lines = fleet.ledger("run")
     return sorted(line["at"] for line in lines if line["upstream"] in ids and line["at"] >= since)
 
 
-def most_in_a_span(times: list[float]) -> int:
-    """Return the most requests in any span of `SPAN_SECONDS`."""
-    return max((sum(at <= other < at + SPAN_SECONDS for other in times) for at in times), default=0)
+def max_in_window(times: list[float]) -> int:
+    """Return the highest number of requests in any window of `WINDOW_SECONDS`."""
+    return max(
+        (sum(at <= other < at + WINDOW_SECONDS for other in times) for at in times), default=0
+    )
 
 
 @pytest.mark.parametrize("route", ["status", "preview", "draft"])
-def test_limit_is_kept_by_all_boxes_together(fleet: DiscoveredFleet, route: str) -> None:
-    """The pattern: callers come at all boxes at 10 a second each; one upstream names 0.5 a second,
-    refuses nothing and stays quick, and the others can serve all."""
-    name = serving(fleet, route)
-    fleet.set_response_mode(name, limit=str(RATE))
-    named_at = time.time()
-    statuses = send_over_all(fleet, route, SENDING_SECONDS)
+def test_rate_is_kept_by_all_boxes_together(fleet: DiscoveredFleet, route: str) -> None:
+    """One upstream advertises a rate, refuses nothing and stays fast; the others can serve all
+    requests that arrive at the gateways."""
+    name = serving_upstream(fleet, route)
+    fleet.set_response_mode(name, limit=str(ADVERTISED_RATE))
+    advertised_at = time.time()
+    statuses = send_to_all_gateways(fleet, route, SENDING_SECONDS)
     assert set(statuses) == {200}
-    assert most_in_a_span(runs_on(fleet, name, named_at + SETTLE_SECONDS)) <= MOST
+    assert max_in_window(run_times(fleet, name, advertised_at + SETTLE_SECONDS)) <= MAX_REQUESTS
 
 
-@pytest.mark.parametrize("trouble", ["registry killed", "registry stands still", "gateway killed"])
-def test_limit_is_kept_while_boxes_come_and_go(fleet: DiscoveredFleet, trouble: str) -> None:
-    """The pattern: the one that kept the sum is gone, and may come back with what it believed."""
-    name = serving(fleet, "status")
-    fleet.set_response_mode(name, limit=str(RATE))
-    named_at = time.time()
+@pytest.mark.parametrize("fault", ["registry killed", "registry suspended", "gateway killed"])
+def test_rate_is_kept_when_boxes_fail_and_return(fleet: DiscoveredFleet, fault: str) -> None:
+    """The box that grants the rate or a gateway fails, and may return with stale state."""
+    name = serving_upstream(fleet, "status")
+    fleet.set_response_mode(name, limit=str(ADVERTISED_RATE))
+    advertised_at = time.time()
 
-    def cause() -> None:
-        if trouble == "registry killed":
+    def inject_fault() -> None:
+        if fault == "registry killed":
             fleet.kill("registry-0")
             fleet.restart("registry-0")
-        elif trouble == "gateway killed":
+        elif fault == "gateway killed":
             fleet.kill("gateway-0")
             fleet.restart("gateway-0")
         else:
@@ -143,29 +141,29 @@
             time.sleep(2.0)
             fleet.signal("registry-0", signal.SIGCONT)
 
-    send_over_all(fleet, "status", SENDING_SECONDS, cause)
-    assert most_in_a_span(runs_on(fleet, name, named_at + SETTLE_SECONDS)) <= MOST
+    send_to_all_gateways(fleet, "status", SENDING_SECONDS, inject_fault)
+    assert max_in_window(run_times(fleet, name, advertised_at + SETTLE_SECONDS)) <= MAX_REQUESTS
 
 
 @pytest.mark.parametrize("route", ["status", "draft"])
-def test_callers_wait_or_are_refused_as_not_run_while_all_upstreams_are_limited(
+def test_requests_wait_or_are_refused_as_not_run_while_all_upstreams_are_limited(
     fleet: DiscoveredFleet, route: str
 ) -> None:
-    """The pattern: no upstream is left that takes any number. Those that have the time are served
-    by turns; the others are told at once, and none is sent to an upstream that takes no more."""
+    """All upstreams advertise a rate. Requests with enough time are served in turn, the others are
+    refused at once, and none is sent to an upstream that has reached its rate."""
     pool = "engines" if route == "draft" else "services"
     names = [name for name in fleet.boxes if name.startswith(pool)]
     for name in names:
-        fleet.set_response_mode(name, limit=str(RATE))
-    named_at = time.time()
-    send_over_all(fleet, route, SETTLE_SECONDS)
+        fleet.set_response_mode(name, limit=str(ADVERTISED_RATE))
+    advertised_at = time.time()
+    send_to_all_gateways(fleet, route, SETTLE_SECONDS)
     answers = [send(fleet, route, item % GATEWAYS, deadline_ms=300) for item in range(12)]
     refused = [answer for answer in answers if answer.status_code == 503]
     assert refused
     assert {answer.headers["ledgeladder-code"] for answer in refused} == {LIMITED_CODE}
     assert {answer.headers["ledgeladder-execution"] for answer in refused} == {"not-run"}
     assert all(float(answer.headers["retry-after"]) > 0 for answer in refused)
-    statuses = send_over_all(fleet, route, SENDING_SECONDS)
+    statuses = send_to_all_gateways(fleet, route, SENDING_SECONDS)
     assert 200 in statuses
     for name in names:
-        assert most_in_a_span(runs_on(fleet, name, named_at + SETTLE_SECONDS)) <= MOST
+        assert max_in_window(run_times(fleet, name, advertised_at + SETTLE_SECONDS)) <= MAX_REQUESTS
--- a/tests/daemons/test_rest_asked_for.py
+++ b/tests/daemons/test_rest_asked_for.py
@@ -1,10 +1,7 @@
-"""Upstreams that ask a box for rest, or say that they leave, over real processes.
+"""Upstreams that request back-off from a box or are draining, over real processes.
 
-What was seen: a service refused a box with 503 and asked for 3 s of rest; the box sent it five more
-requests in that time. How it came about: the box kept off a service that refused for a quarter of
-a second, whatever it asked for, and chose it again since it was the nearest one. Cause: no code
-read the time that a refusal names, nor that an answer says that its upstream leaves. Proof: the
-refused requests in the ledger of the upstream against the time of its first refusal.
+Guards against requests being sent to an upstream before the end of the back-off that its refusal
+names, or after an answer said that it is draining.
 """
 
 from __future__ import annotations
@@ -24,26 +21,26 @@
     wait_until,
 )
 
-REST_SECONDS = 3.0
-"""Rest that is asked for."""
+BACKOFF_SECONDS = 3.0
+"""Back-off that upstreams request."""
 
-ON_THE_WAY_SECONDS = 0.5
-"""How long requests that were on their way may still arrive."""
+IN_FLIGHT_SECONDS = 0.5
+"""How long after the first refusal requests in flight may still arrive."""
 
-PAUSE_SECONDS = 0.05
+SEND_INTERVAL_SECONDS = 0.05
 """Time between two requests."""
 
-SHORT_REST_SECONDS = 1.5
-"""Rest at the end of which a request comes."""
+SHORT_BACKOFF_SECONDS = 1.5
+"""Back-off shortly before whose end a request arrives."""
 
-BEFORE_THE_END_SECONDS = 0.1
-"""How long before: a part of the time in which a route promises an answer."""
+BEFORE_END_SECONDS = 0.1
+"""How long before; shorter than the time in which the route promises an answer."""
 
-SHORT_MS = 400
-"""Time of a request that is too short to wait for a rest, in milliseconds."""
+SHORT_DEADLINE_MS = 400
+"""Deadline of a request that can't wait for the end of a back-off, in milliseconds."""
 
-RESTING_CODE = "1207"
-"""Result code of a request that all upstreams for it want rest from."""
+BACKING_OFF_CODE = "1207"
+"""Result code of a request whose upstreams are all backing off."""
 
 
 @pytest.fixture(scope="module")
@@ -54,12 +51,12 @@
 
 
 @pytest.fixture(autouse=True)
-def settled(fleet: DiscoveredFleet) -> Iterator[None]:
-    """Upstreams that serve, with no rest left over from the test before."""
+def reset_upstreams(fleet: DiscoveredFleet) -> Iterator[None]:
+    """Have all upstreams serve again after a test and wait until no back-off is left."""
     yield
     for name in fleet.boxes:
         fleet.set_response_mode(name)
-    time.sleep(REST_SECONDS)
+    time.sleep(BACKOFF_SECONDS)
 
 
 def send(
@@ -78,35 +75,35 @@
     return fleet.client.post(url, headers=fields)
 
 
-def rest_all(fleet: DiscoveredFleet, route: str, rest: str) -> list[str]:
-    """Have all upstreams that a request could be sent to ask for rest; returns their names."""
+def request_backoff_from_all(fleet: DiscoveredFleet, route: str, backoff: str) -> list[str]:
+    """Have all upstreams that serve a route request back-off; returns their names."""
     pool = "engines" if route == "draft" else "services"
     names = [name for name in fleet.boxes if name.startswith(pool)]
     for name in names:
-        fleet.set_response_mode(name, rest=rest)
+        fleet.set_response_mode(name, rest=backoff)
     return names
 
 
-def refused_for_rest(fleet: DiscoveredFleet, route: str) -> bool:
-    """Tell whether a request that has little time is refused since all upstreams rest."""
-    answer = send(fleet, route, deadline_ms=SHORT_MS)
-    return answer.headers.get("ledgeladder-code") == RESTING_CODE
+def is_refused_for_backoff(fleet: DiscoveredFleet, route: str) -> bool:
+    """Return whether a request with a short deadline is refused as all upstreams back off."""
+    answer = send(fleet, route, deadline_ms=SHORT_DEADLINE_MS)
+    return answer.headers.get("ledgeladder-code") == BACKING_OFF_CODE
 
 
 def keep_sending(
     fleet: DiscoveredFleet, route: str, seconds: float, gateway: int = 0
 ) -> list[httpx.Response]:
-    """Send one request after the other for some time."""
+    """Send one request after the other for a number of seconds."""
     until = time.monotonic() + seconds
     answers = []
     while time.monotonic() < until:
         answers.append(send(fleet, route, gateway))
-        time.sleep(PAUSE_SECONDS)
+        time.sleep(SEND_INTERVAL_SECONDS)
     return answers
 
 
 def arrivals(fleet: DiscoveredFleet, event: str, name: str, gateway: int) -> list[float]:
-    """Return when requests of a gateway came to an upstream, oldest first."""
+    """Return when requests of a gateway arrived at an upstream, oldest first."""
     ids = fleet.upstream_ids(name)
     return sorted(
         line["at"]
@@ -115,75 +112,75 @@
     )
 
 
-def serving(fleet: DiscoveredFleet, route: str) -> str:
-    """Return the upstream that a request is sent to, the first one of a path."""
+def serving_upstream(fleet: DiscoveredFleet, route: str) -> str:
+    """Return the name of the upstream that a request is sent to, the first one of a path."""
     seal = send(fleet, route).headers["replica-seal"]
     upstream = seal.partition(".")[0]
     names = [name for name in fleet.boxes if name.startswith(("engines", "services"))]
     return next(name for name in names if upstream in fleet.upstream_ids(name))
 
 
-def in_rest(times: list[float]) -> list[float]:
-    """Return the requests that came while the first one's refusal asked for rest."""
-    return [at - times[0] for at in times if ON_THE_WAY_SECONDS < at - times[0] < REST_SECONDS]
+def during_backoff(times: list[float]) -> list[float]:
+    """Return the arrivals within the back-off of the first refusal, as seconds after it."""
+    return [at - times[0] for at in times if IN_FLIGHT_SECONDS < at - times[0] < BACKOFF_SECONDS]
 
 
 @pytest.mark.parametrize("route", ["status", "preview", "draft"])
-def test_upstream_that_asks_for_rest_gets_it(fleet: DiscoveredFleet, route: str) -> None:
-    """The pattern: the nearest upstream refuses and asks for rest, while callers come at 15/s."""
-    name = serving(fleet, route)
-    fleet.set_response_mode(name, rest=str(REST_SECONDS))
-    answers = keep_sending(fleet, route, REST_SECONDS)
+def test_upstream_gets_no_request_during_its_backoff(fleet: DiscoveredFleet, route: str) -> None:
+    """The nearest upstream refuses and requests back-off while requests keep arriving."""
+    name = serving_upstream(fleet, route)
+    fleet.set_response_mode(name, rest=str(BACKOFF_SECONDS))
+    answers = keep_sending(fleet, route, BACKOFF_SECONDS)
     refused = arrivals(fleet, "refused", name, 0)
     assert refused, "the upstream was never chosen"
-    assert in_rest(refused) == []
+    assert during_backoff(refused) == []
     assert {answer.status_code for answer in answers} == {200}
 
 
 @pytest.mark.parametrize("route", ["status", "preview", "draft"])
-def test_request_without_the_time_is_refused_at_once_while_all_upstreams_rest(
+def test_request_with_short_deadline_is_refused_at_once_while_all_upstreams_back_off(
     fleet: DiscoveredFleet, route: str
 ) -> None:
-    """Its caller is told that it was not run and when the first of them wants work again."""
-    names = rest_all(fleet, route, str(REST_SECONDS))
-    asked_at = time.monotonic()
-    wait_until(lambda: refused_for_rest(fleet, route), 2, "all resting")
+    """The answer says that it was not run and when the first back-off ends."""
+    names = request_backoff_from_all(fleet, route, str(BACKOFF_SECONDS))
+    requested_at = time.monotonic()
+    wait_until(lambda: is_refused_for_backoff(fleet, route), 2, "all backing off")
     for name in names:
         fleet.set_response_mode(name)
-    answer = send(fleet, route, deadline_ms=SHORT_MS)
+    answer = send(fleet, route, deadline_ms=SHORT_DEADLINE_MS)
     assert answer.status_code == 503
-    assert answer.headers["ledgeladder-code"] == RESTING_CODE
+    assert answer.headers["ledgeladder-code"] == BACKING_OFF_CODE
     assert answer.headers["ledgeladder-execution"] == "not-run"
-    told = float(answer.headers["retry-after"])
-    assert 0 < told <= REST_SECONDS
-    assert answer.elapsed.total_seconds() < told
-    time.sleep(told)
+    retry_after = float(answer.headers["retry-after"])
+    assert 0 < retry_after <= BACKOFF_SECONDS
+    assert answer.elapsed.total_seconds() < retry_after
+    time.sleep(retry_after)
     assert send(fleet, route).status_code == 200
-    assert time.monotonic() - asked_at >= told
+    assert time.monotonic() - requested_at >= retry_after
 
 
 @pytest.mark.parametrize("route", ["status", "preview", "draft"])
-def test_request_that_comes_shortly_before_the_end_of_a_rest_is_served(
+def test_request_shortly_before_the_end_of_a_backoff_is_served(
     fleet: DiscoveredFleet, route: str
 ) -> None:
-    """It can still be served as soon as its route promises, and waits for it."""
-    names = rest_all(fleet, route, str(SHORT_REST_SECONDS))
-    wait_until(lambda: refused_for_rest(fleet, route), 2, "all resting")
+    """It waits for the end of the back-off, which is within the time that its route promises."""
+    names = request_backoff_from_all(fleet, route, str(SHORT_BACKOFF_SECONDS))
+    wait_until(lambda: is_refused_for_backoff(fleet, route), 2, "all backing off")
     for name in names:
         fleet.set_response_mode(name)
-    told = float(send(fleet, route, deadline_ms=SHORT_MS).headers.get("retry-after", "0"))
-    time.sleep(max(0.0, told - BEFORE_THE_END_SECONDS))
+    retry_after = float(
+        send(fleet, route, deadline_ms=SHORT_DEADLINE_MS).headers.get("retry-after", "0")
+    )
+    time.sleep(max(0.0, retry_after - BEFORE_END_SECONDS))
     assert send(fleet, route).status_code == 200
 
 
 @pytest.mark.parametrize("route", ["status", "draft"])
-def test_upstream_that_says_that_it_leaves_gets_no_new_work(
-    fleet: DiscoveredFleet, route: str
-) -> None:
-    """The pattern: its heartbeats say that it is ready, and its answers that it leaves, as behind a
-    cut from the control boxes."""
-    fleet.set_response_mode(serving(fleet, route), leaving=True)
-    answers = keep_sending(fleet, route, REST_SECONDS)
-    said = [answer for answer in answers if "server-leaving" in answer.headers]
-    assert len(said) == 1
+def test_draining_upstream_gets_no_new_work(fleet: DiscoveredFleet, route: str) -> None:
+    """Its answers say that it is draining while its heartbeats say ready, as behind a network
+    partition from the control boxes."""
+    fleet.set_response_mode(serving_upstream(fleet, route), leaving=True)
+    answers = keep_sending(fleet, route, BACKOFF_SECONDS)
+    draining = [answer for answer in answers if "server-leaving" in answer.headers]
+    assert len(draining) == 1
     assert {answer.status_code for answer in answers} == {200}
--- a/tests/daemons/test_resting_upstreams.py
+++ b/tests/daemons/test_resting_upstreams.py
@@ -1,8 +1,7 @@
-"""Upstreams that ask for rest, over the product's own interface.
+"""Upstreams that request back-off, over the product's own interface.
 
-The same cause as on the platform: no time that a refusal names was read. A service that refused as
-not run was passed over for a second, whatever it asked for, and an engine until it answered the
-next probe, a third of a second later.
+Guards against requests being sent to a service or an engine before the end of the back-off that its
+refusal names.
 """
 
 from __future__ import annotations
@@ -21,14 +20,14 @@
 
 ENTRY = "entry-a1"
 
-REST_SECONDS = 4.0
-"""Rest that is asked for."""
+BACKOFF_SECONDS = 4.0
+"""Back-off that upstreams request."""
 
-ON_THE_WAY_SECONDS = 0.5
-"""How long requests that were on their way may still arrive."""
+IN_FLIGHT_SECONDS = 0.5
+"""How long before the end of the back-off the test stops sending."""
 
-RESTING = 1207
-"""Result code of a request that all upstreams for it want rest from."""
+BACKING_OFF = 1207
+"""Result code of a request whose upstreams are all backing off."""
 
 
 @pytest.fixture(scope="module")
@@ -38,11 +37,11 @@
 
 
 @pytest.fixture(autouse=True)
-def rested(fleet: Fleet) -> Iterator[None]:
-    """Upstreams that serve again after the test, with no rest left over."""
+def reset_upstreams(fleet: Fleet) -> Iterator[None]:
+    """Have the upstreams serve again after a test and wait until no back-off is left."""
     yield
-    ask_for_rest(fleet, [*services(fleet), *first_engines(fleet)], rest=False)
-    time.sleep(REST_SECONDS)
+    set_backoff(fleet, [*services(fleet), *first_engines(fleet)], enabled=False)
+    time.sleep(BACKOFF_SECONDS)
 
 
 def services(fleet: Fleet) -> list[str]:
@@ -54,18 +53,18 @@
     return [spec.name for spec in fleet.engines if spec.first == 0]
 
 
-def ask_for_rest(fleet: Fleet, names: list[str], *, rest: bool) -> None:
-    """Have upstreams refuse and ask for rest, or serve again."""
+def set_backoff(fleet: Fleet, names: list[str], *, enabled: bool) -> None:
+    """Have upstreams refuse and request back-off, or serve again."""
     for name in names:
         if name.startswith("service-"):
-            body: dict[str, object] = {"rest": [str(REST_SECONDS)] if rest else []}
+            body: dict[str, object] = {"rest": [str(BACKOFF_SECONDS)] if enabled else []}
         else:
-            body = {"rest": str(REST_SECONDS) if rest else ""}
+            body = {"rest": str(BACKOFF_SECONDS) if enabled else ""}
         fleet.client.post(f"{fleet.url(name)}/standin/control", json=body)
 
 
-def refused(fleet: Fleet, name: str) -> int:
-    """Return how many requests an upstream has refused for want of rest."""
+def refused_count(fleet: Fleet, name: str) -> int:
+    """Return how many requests an upstream has refused to request back-off."""
     stats = fleet.client.get(f"{fleet.url(name)}/standin/stats").json()
     return int(stats.get("counts", stats).get("refused", 0))
 
@@ -75,7 +74,7 @@
     "repeatable": (services, lambda fleet: call(fleet, ENTRY, "again", repeatable=True)),
     "once": (services, lambda fleet: call(fleet, ENTRY, "again", repeatable=False)),
 }
-"""Upstreams of each kind of request, and how it is sent."""
+"""Upstreams of each kind of request and the function that sends it."""
 
 
 def code_of(answer: httpx.Response) -> int:
@@ -83,34 +82,34 @@
 
 
 @pytest.mark.parametrize("kind", list(KINDS))
-def test_upstreams_that_ask_for_rest_get_it(fleet: Fleet, kind: str) -> None:
-    """The pattern: some upstreams refuse for seconds, the others serve, one caller comes again."""
+def test_upstreams_get_no_request_during_their_backoff(fleet: Fleet, kind: str) -> None:
+    """Some upstreams request back-off, the others serve, and one caller keeps sending."""
     names, send = KINDS[kind]
     wait_until(lambda: send(fleet).status_code == 200, 20, f"{kind} served")
-    tired = names(fleet)[: len(names(fleet)) // 3]
-    before = {name: refused(fleet, name) for name in tired}
-    ask_for_rest(fleet, tired, rest=True)
-    until = time.monotonic() + REST_SECONDS - ON_THE_WAY_SECONDS
+    backing_off = names(fleet)[: len(names(fleet)) // 3]
+    before = {name: refused_count(fleet, name) for name in backing_off}
+    set_backoff(fleet, backing_off, enabled=True)
+    until = time.monotonic() + BACKOFF_SECONDS - IN_FLIGHT_SECONDS
     while time.monotonic() < until:
         assert send(fleet).status_code == 200
-    # None is on its way when an answer comes, as they come one after the other. An engine may have
-    # asked for rest when its load was looked at, so that none came at all.
-    assert all(refused(fleet, name) - before[name] <= 1 for name in tired)
+    # Requests are sent one at a time, so none is in flight when an answer arrives. An engine that
+    # requested back-off in answer to a load check may get none at all.
+    assert all(refused_count(fleet, name) - before[name] <= 1 for name in backing_off)
 
 
 @pytest.mark.parametrize("kind", list(KINDS))
-def test_request_is_refused_at_once_while_all_upstreams_rest(fleet: Fleet, kind: str) -> None:
+def test_request_is_refused_at_once_while_all_upstreams_back_off(fleet: Fleet, kind: str) -> None:
     names, send = KINDS[kind]
     wait_until(lambda: send(fleet).status_code == 200, 20, f"{kind} served")
-    ask_for_rest(fleet, names(fleet), rest=True)
-    wait_until(lambda: code_of(send(fleet)) == RESTING, 3, "all rest")
-    ask_for_rest(fleet, names(fleet), rest=False)
+    set_backoff(fleet, names(fleet), enabled=True)
+    wait_until(lambda: code_of(send(fleet)) == BACKING_OFF, 3, "all backing off")
+    set_backoff(fleet, names(fleet), enabled=False)
     answer = send(fleet)
-    assert code_of(answer) == RESTING
+    assert code_of(answer) == BACKING_OFF
     assert answer.status_code == 503
     assert answer.headers["ledgeladder-execution"] == "not-run"
-    told = float(answer.headers["retry-after"])
-    # Whole seconds on this interface, rounded up.
-    assert 0 < told < REST_SECONDS + 1
-    time.sleep(told)
+    retry_after = float(answer.headers["retry-after"])
+    # This interface rounds up to whole seconds.
+    assert 0 < retry_after < BACKOFF_SECONDS + 1
+    time.sleep(retry_after)
     assert send(fleet).status_code == 200
