--- a/tests/daemons/gateway/test_rate_limits.py
+++ b/tests/daemons/gateway/test_rate_limits.py
@@ -28,7 +28,7 @@
 from .builders import engine, gateway_state
 from .test_backpressure import PERMIT
 
-NAMED = ReportedLimit(rate=2.0, advertised_age=0.0, withdrawn_age=None)
+ADVERTISED = ReportedLimit(rate=2.0, advertised_age=0.0, withdrawn_age=None)
 
 
 class ControlBox:
@@ -79,7 +79,7 @@
         ("1e9", None),
     ],
 )
-def test_rate_named_in_an_answer_is_applied(limit: str, rate: float | None) -> None:
+def test_rate_advertised_in_an_answer_is_applied(limit: str, rate: float | None) -> None:
     async def play() -> None:
         state, upstream, _boxes = linked()
         handle_answer(state, upstream, 0.0, server_limit=limit)
@@ -97,7 +97,7 @@
         (200, {}, True, True),
         (200, {"server_limit": "1e9"}, True, True),
         (503, {"not_executed": "1"}, True, True),
-        # Sent before the limit was named, so the answer may be older than the limit.
+        # Sent before the limit was advertised, so the answer may be older than the limit.
         (200, {}, False, False),
         (200, {"server_limit": "soon"}, True, False),
         # Another instance has taken over the address.
@@ -106,7 +106,7 @@
         (502, {"replica_seal": ""}, True, False),
     ],
 )
-def test_limit_ends_with_an_answer_that_names_none(
+def test_limit_ends_with_an_answer_that_advertises_none(
     status: int, fields: dict[str, str], later: bool, ends: bool
 ) -> None:
     async def play() -> None:
@@ -127,7 +127,7 @@
 def test_update_of_a_control_box_limits_an_upstream_that_registers_later() -> None:
     async def play() -> None:
         state, _upstream, _boxes = linked()
-        apply_limits(rate_limiter_of(state), {"i-9": NAMED})
+        apply_limits(rate_limiter_of(state), {"i-9": ADVERTISED})
         known = put_registration(state.table, engine("i-9", "127.0.0.1:9").registration, 0.0)
         assert known is not None
         assert not accepts_work(known, anyio.current_time())
@@ -187,7 +187,7 @@
 
 
 def reply(call: int, count: int) -> GrantReply:
-    return GrantReply(call=call, grants={"i-1": Grant(count=count, wait=1.0, limit=NAMED)})
+    return GrantReply(call=call, grants={"i-1": Grant(count=count, wait=1.0, limit=ADVERTISED)})
 
 
 def test_late_reply_grants_nothing() -> None:
--- a/tests/daemons/test_limited_upstreams.py
+++ b/tests/daemons/test_limited_upstreams.py
@@ -81,7 +81,7 @@
 """Upstreams and send function by kind of request."""
 
 
-def send_over_all(fleet: Fleet, send: Send, seconds: float) -> list[int]:
+def send_to_all_entries(fleet: Fleet, send: Send, seconds: float) -> list[int]:
     """Send requests through all entries concurrently, and return the response statuses."""
     until = time.monotonic() + seconds
     statuses: list[int] = []
@@ -105,9 +105,9 @@
     names, send = KINDS[kind]
     limited = names(fleet)[0]
     advertise_limit(fleet, [limited], str(RATE))
-    send_over_all(fleet, send, SETTLE_SECONDS)
+    send_to_all_entries(fleet, send, SETTLE_SECONDS)
     before = started_requests(fleet, limited)
-    statuses = send_over_all(fleet, send, INTERVAL_SECONDS)
+    statuses = send_to_all_entries(fleet, send, INTERVAL_SECONDS)
     assert started_requests(fleet, limited) - before <= MAX_REQUESTS
     assert set(statuses) == {200}
 
