--- a/src/ledgeladder/daemons/control/handover.py
+++ b/src/ledgeladder/daemons/control/leadership_transfer.py
@@ -11,7 +11,7 @@
     from .node import ControlNode
 
 
-def start_handover(node: ControlNode) -> bool:
+def start_leadership_transfer(node: ControlNode) -> bool:
     """Start to transfer the leadership to the voter with the longest replicated log.
 
     Returns:
--- a/src/ledgeladder/daemons/control/main.py
+++ b/src/ledgeladder/daemons/control/main.py
@@ -19,7 +19,6 @@
 from ..rate_lender import run_limit_broadcasts
 from ..signals import on_stop_signal
 from ..supervisor import Child, Restart, supervise
-from .handover import start_handover
 from .hub import (
     Hub,
     build_quarantine_controller,
@@ -30,6 +29,7 @@
     serve_accepted_link,
 )
 from .hub import serve_peer_link as serve_peer
+from .leadership_transfer import start_leadership_transfer
 from .node import ControlNode, open_node, run_log
 from .operator_api import build_operator_app
 from .ordering import run_orders
@@ -43,7 +43,7 @@
 LEASE_FRACTION = 0.8
 """Lease as a fraction of the election timeout. The rest is a margin for clock drift."""
 
-HANDOVER_TIMEOUT_SECONDS = 2.0
+LEADERSHIP_TRANSFER_TIMEOUT_SECONDS = 2.0
 """How long a planned stop waits for the leadership transfer."""
 
 
@@ -175,7 +175,7 @@
     async with anyio.create_task_group() as tasks:
 
         async def planned_stop() -> None:
-            await _hand_over(node)
+            await _transfer_leadership(node)
             stop.set()
             tasks.cancel_scope.cancel()
 
@@ -187,9 +187,10 @@
     logger.info("control stopped")
 
 
-async def _hand_over(node: ControlNode) -> None:
-    if not node.replica.is_leader or not start_handover(node):
+async def _transfer_leadership(node: ControlNode) -> None:
+    """Transfer the leadership to another member and wait for it until a timeout."""
+    if not node.replica.is_leader or not start_leadership_transfer(node):
         return
-    with anyio.move_on_after(HANDOVER_TIMEOUT_SECONDS):
+    with anyio.move_on_after(LEADERSHIP_TRANSFER_TIMEOUT_SECONDS):
         while node.replica.is_leader:
             await anyio.sleep(0.02)
--- a/src/ledgeladder/daemons/control/operator_api.py
+++ b/src/ledgeladder/daemons/control/operator_api.py
@@ -26,8 +26,8 @@
 from ...routing.policy import validate_policies
 from ..clock import wall_clock_ms
 from ..http import not_found, problem_response
-from .handover import start_handover
 from .hub import connected_boxes
+from .leadership_transfer import start_leadership_transfer
 from .node import submit
 
 if TYPE_CHECKING:
@@ -102,8 +102,8 @@
     async def status(request: Request, operator: str) -> Response:
         return JSONResponse(_status(node, hub) | leader_hint())
 
-    async def hand_over(request: Request, operator: str) -> Response:
-        started = start_handover(node)
+    async def transfer_leadership(request: Request, operator: str) -> Response:
+        started = start_leadership_transfer(node)
         return JSONResponse({"started": started})
 
     async def live(request: Request) -> Response:
@@ -119,7 +119,7 @@
             Route("/v1/configuration", guarded(configuration)),
             Route("/v1/audit", guarded(audit)),
             Route("/v1/status", guarded(status)),
-            Route("/v1/handover", guarded(hand_over), methods=["POST"]),
+            Route("/v1/handover", guarded(transfer_leadership), methods=["POST"]),
             Route("/live", live),
             Route("/ready", ready),
         ],
--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -21,7 +21,7 @@
 from ...settings import load_registry_settings
 from ...storage import StorageError, box_of, create_identity, member_id, read_identity
 from ..content_judge import broadcast_quarantine, run_quarantine_controller
-from ..control.handover import start_handover
+from ..control.leadership_transfer import start_leadership_transfer
 from ..control.node import ControlNode, open_node, run_log
 from ..log_child import log_child
 from ..metrics_page import metrics_child
@@ -52,8 +52,8 @@
 LEASE_SHARE: Final = 0.8
 """Lease as a share of the election timeout; the rest allows for clock drift."""
 
-HANDOVER_TIMEOUT_SECONDS: Final = 1.5
-"""How long a planned stop waits for another leader."""
+LEADERSHIP_TRANSFER_TIMEOUT_SECONDS: Final = 1.5
+"""How long a planned stop waits for the leadership transfer."""
 
 START_RETRY_SECONDS: Final = 1.0
 """Interval at which the start is retried while the disk is full."""
@@ -252,7 +252,7 @@
             state.stopping = True
             site.stopping = True
             logger.info("planned stop", extra={"leads": state.node.replica.is_leader})
-            await _hand_over(state.node)
+            await _transfer_leadership(state.node)
             tasks.cancel_scope.cancel()
 
         tasks.start_soon(on_stop_signal, planned_stop)
@@ -263,10 +263,10 @@
     logger.info("registry stopped")
 
 
-async def _hand_over(node: ControlNode) -> None:
+async def _transfer_leadership(node: ControlNode) -> None:
     """Transfer the leadership to another member, and wait for it until a timeout."""
-    if not node.replica.is_leader or not start_handover(node):
+    if not node.replica.is_leader or not start_leadership_transfer(node):
         return
-    with anyio.move_on_after(HANDOVER_TIMEOUT_SECONDS):
+    with anyio.move_on_after(LEADERSHIP_TRANSFER_TIMEOUT_SECONDS):
         while node.replica.is_leader:
             await anyio.sleep(0.02)
