--- a/tests/daemons/conftest.py
+++ b/tests/daemons/conftest.py
@@ -46,7 +46,7 @@
     fleet.wait_ready()
     fleet.wait_upstreams()
     for name in fleet.entry_names:
-        # Until the boxes that watch it have looked again, an engine that was down gets no work.
+        # An engine that was down gets no work until the boxes that probe it have checked it again.
         try:
             wait_until(partial(serves, fleet, name), 20, f"{name} serving again")
         except TimeoutError as error:
