--- a/bench/capacity/__init__.py
+++ b/bench/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes behind docs/CAPACITY.md."""
+"""Capacity measurements for docs/CAPACITY.md."""
--- a/bench/capacity/control.py
+++ b/bench/capacity/control.py
@@ -1,4 +1,4 @@
-"""Slopes of the control boxes, measured with real processes and stand-in followers."""
+"""Fan-out and claim rate of control boxes, measured on processes with stand-in followers."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from .fit import Slope
 
 NODES = 410
-QUIET_SECONDS = 6.0
+IDLE_SECONDS = 6.0
 CHANGES = 5
 
 
 def identity(number: int) -> LinkIdentity:
-    """Return who a stand-in follower is."""
+    """Return the link identity of a stand-in follower."""
     return LinkIdentity(
         cluster="fleet",
         role=PeerRole.ENTRY,
@@ -38,7 +38,7 @@
 
 
 class Followers:
-    """Links that follow the configuration as entries do, on all control boxes each."""
+    """Followers of the configuration, each with links to all control boxes, like entries."""
 
     def __init__(self, fleet: Fleet, count: int) -> None:
         self.fleet = fleet
@@ -81,14 +81,14 @@
             for control in self.fleet.control_names:
                 tasks.start_soon(self.follow, number, control)
 
-    async def all_at(self, version: int) -> None:
-        """Wait until every follower has a version."""
+    async def wait_version(self, version: int) -> None:
+        """Wait until every follower has at least this version."""
         while len(self.versions) < self.count or min(self.versions.values()) < version:
             await anyio.sleep(0.005)
 
 
 def change(number: int, base: int) -> dict[str, object]:
-    """Return a small change."""
+    """Return a small change of the configuration."""
     return {
         "change_id": f"capacity-{number:06}",
         "base_version": base,
@@ -96,8 +96,8 @@
     }
 
 
-async def fan_out(fleet: Fleet, count: int) -> tuple[float, float, float]:
-    """Return seconds to in force, leader's share of a core at rest, bytes a second a node."""
+async def run_fan_out(fleet: Fleet, count: int) -> tuple[float, float, float]:
+    """Return seconds until in force, idle leader's core share, and bytes/s for each follower."""
     followers = Followers(fleet, count)
     leader = fleet.wait_leader()
     status = fleet.status(leader)
@@ -106,38 +106,38 @@
     async with anyio.create_task_group() as tasks:
         followers.start(tasks)
         with anyio.fail_after(60):
-            await followers.all_at(version)
+            await followers.wait_version(version)
         await anyio.sleep(1.0)
         followers.bytes = 0
         before = usage_by_name(fleet)[leader].cpu_seconds
-        await anyio.sleep(QUIET_SECONDS)
-        share = (usage_by_name(fleet)[leader].cpu_seconds - before) / QUIET_SECONDS
-        rate = followers.bytes / QUIET_SECONDS / count
+        await anyio.sleep(IDLE_SECONDS)
+        share = (usage_by_name(fleet)[leader].cpu_seconds - before) / IDLE_SECONDS
+        rate = followers.bytes / IDLE_SECONDS / count
         times = []
         for number in range(CHANGES):
-            began = time.monotonic()
+            started = time.monotonic()
             body = change(version * 1000 + number, version)
             submit = partial(fleet.operator, leader, "/v1/changes", body)
             answer = await anyio.to_thread.run_sync(submit)
             assert answer.status_code == 200, answer.text
             version += 1
             with anyio.fail_after(30):
-                await followers.all_at(version)
-            times.append(max(followers.in_force_at.values()) - began)
+                await followers.wait_version(version)
+            times.append(max(followers.in_force_at.values()) - started)
         tasks.cancel_scope.cancel()
     return statistics.median(times), share, rate
 
 
-def fan_out_slopes() -> list[Slope]:
+def measure_fan_out() -> list[Slope]:
     """Measure the fan-out of changes against the number of followers."""
-    force: list[tuple[float, float]] = []
+    in_force_ms: list[tuple[float, float]] = []
     share: list[tuple[float, float]] = []
     rate: list[tuple[float, float]] = []
     for count in (8, 32, 64, 128, 256, NODES):
         with running_fleet(entries_per_domain=(), engines=[], services=0) as fleet:
             fleet.wait_leader()
-            seconds, core, received = anyio.run(fan_out, fleet, count)
-        force.append((count, seconds * 1000))
+            seconds, core, received = anyio.run(run_fan_out, fleet, count)
+        in_force_ms.append((count, seconds * 1000))
         share.append((count, core * 100))
         rate.append((count, received))
     return [
@@ -145,7 +145,7 @@
             name="in-force",
             what="ms from sending a change to in force on all (median of 5)",
             against="followers",
-            points=force,
+            points=in_force_ms,
             target=NODES,
             target_measured=True,
         ),
@@ -168,8 +168,8 @@
     ]
 
 
-async def claim_rate(fleet: Fleet, concurrency: int, seconds: float) -> tuple[float, float, float]:
-    """Return claims a second, median ms and 99 in 100 ms."""
+async def run_claims(fleet: Fleet, concurrency: int, seconds: float) -> tuple[float, float, float]:
+    """Return claims a second, and the median and 99th percentile of latency in milliseconds."""
     client = CommandClient()
     latencies: list[float] = []
     async with anyio.create_task_group() as tasks:
@@ -178,10 +178,10 @@
             tasks.start_soon(keep_command_link, client, name, address, identity(1))
         while len(client.links) < len(fleet.control_names):
             await anyio.sleep(0.01)
-        until = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
 
-        async def work(number: int) -> None:
-            while time.monotonic() < until:
+        async def send_claims(number: int) -> None:
+            while time.monotonic() < deadline:
                 now_ms = time.time_ns() // 1_000_000
                 command = ClaimCommand(
                     account=f"account-{number}",
@@ -191,13 +191,13 @@
                     deadline_ms=now_ms + 1000,
                     time_ms=now_ms,
                 )
-                began = time.perf_counter()
+                started = time.perf_counter()
                 await commit(client, command, seconds=10)
-                latencies.append((time.perf_counter() - began) * 1000)
+                latencies.append((time.perf_counter() - started) * 1000)
 
         async with anyio.create_task_group() as workers:
             for number in range(concurrency):
-                workers.start_soon(work, number)
+                workers.start_soon(send_claims, number)
         tasks.cancel_scope.cancel()
     latencies.sort()
     return (
@@ -207,23 +207,23 @@
     )
 
 
-def claim_rows() -> list[str]:
-    """Measure claims at several concurrencies; returns table rows."""
+def measure_claims() -> list[str]:
+    """Measure claims at several levels of concurrency; returns Markdown table rows."""
     rows = []
     for concurrency in (1, 4, 16, 64, 256):
         with running_fleet(entries_per_domain=(), engines=[], services=0) as fleet:
             leader = fleet.wait_leader()
-            anyio.run(claim_rate, fleet, concurrency, 0.5)
+            anyio.run(run_claims, fleet, concurrency, 0.5)
             status = fleet.status(leader)
             assert status is not None
             before, syncs = usage_by_name(fleet), status["syncs"]
-            rate, median, high = anyio.run(claim_rate, fleet, concurrency, 4.0)
+            rate, median, percentile_99 = anyio.run(run_claims, fleet, concurrency, 4.0)
             after, status = usage_by_name(fleet), fleet.status(leader)
             assert status is not None
             cpu = after[leader].cpu_seconds - before[leader].cpu_seconds
             per_sync = rate * 4.0 / max(1, status["syncs"] - syncs)
             rows.append(
-                f"| {concurrency} | {rate:.0f} | {median:.1f} | {high:.1f} "
+                f"| {concurrency} | {rate:.0f} | {median:.1f} | {percentile_99:.1f} "
                 f"| {cpu / (rate * 4.0) * 1e6:.0f} | {per_sync:.1f} |"
             )
     return rows
--- a/bench/capacity/cores.py
+++ b/bench/capacity/cores.py
@@ -1,4 +1,4 @@
-"""Slopes of the cores, measured in this process."""
+"""Cost of the membership, routing and configuration code, measured in this process."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 REPLICAS = 600
 ACCOUNTS = 2100
 LAYERS = 64
-STEADY_SECONDS = 10.0
+IDLE_SECONDS = 10.0
 
 
 def engine(number: int, layers: int = LAYERS) -> Upstream:
-    """Return one of many engines that hold a quarter of the layers each."""
+    """Return an engine that holds a quarter of the layers."""
     quarter = layers // 4
     first = number % 4 * quarter
     return Upstream(
@@ -52,12 +52,12 @@
 
 
 def account(number: int) -> ClientAccount:
-    """Return one of many accounts."""
+    """Return a client account."""
     return ClientAccount(name=f"account-{number}", key_sha256=f"{number:064x}")
 
 
 def configuration(accounts: int, upstreams: int) -> Configuration:
-    """Return a configuration of some size."""
+    """Return a configuration with numbers of accounts and upstreams."""
     put = ObjectSet(
         accounts=tuple(account(number) for number in range(accounts)),
         upstreams=tuple(engine(number) for number in range(upstreams)),
@@ -66,8 +66,8 @@
     return apply_objects(Configuration(), put, ())
 
 
-def membership() -> list[Slope]:
-    """Bytes and processor time of the membership protocol a node, at rest and with 6 domains."""
+def measure_membership() -> list[Slope]:
+    """Measure traffic and processor time of the idle membership protocol, for each node."""
     sent: list[tuple[float, float]] = []
     used: list[tuple[float, float]] = []
     for nodes in (12, 24, 48, 96, 192, NODES):
@@ -75,11 +75,11 @@
         network = Network(seed=1, domains=DOMAINS, per_domain=per_domain)
         network.run(15.0)
         network.bytes_sent = 0
-        began = time.process_time()
-        network.run(STEADY_SECONDS)
-        total = per_domain * DOMAINS * STEADY_SECONDS
-        used.append((nodes, (time.process_time() - began) / total * 1e6))
-        sent.append((nodes, network.bytes_sent / total))
+        started = time.process_time()
+        network.run(IDLE_SECONDS)
+        node_seconds = per_domain * DOMAINS * IDLE_SECONDS
+        used.append((nodes, (time.process_time() - started) / node_seconds * 1e6))
+        sent.append((nodes, network.bytes_sent / node_seconds))
     return [
         Slope(
             name="membership-bytes",
@@ -100,21 +100,21 @@
     ]
 
 
-def routes() -> Slope:
-    """Time to choose a route, against the number of engines."""
+def measure_route_choice() -> Slope:
+    """Measure the time of a route choice against the number of engines."""
     points: list[tuple[float, float]] = []
     for replicas in (12, 48, 150, 300, REPLICAS):
         table = UpstreamTable()
-        made = configuration(1, replicas)
-        update_upstreams(table, made)
-        pipeline = made.pipelines["p"]
+        built = configuration(1, replicas)
+        update_upstreams(table, built)
+        pipeline = built.pipelines["p"]
         pick = better_of_two(random.Random(1))
         rounds = 100
-        began = time.perf_counter()
+        started = time.perf_counter()
         for _ in range(rounds):
             engines = eligible_engines(table, pipeline, 1.0, allowed=lambda view: True)
             assert isinstance(choose_route(engines, LAYERS, pick), Success)
-        points.append((replicas, (time.perf_counter() - began) / rounds * 1e6))
+        points.append((replicas, (time.perf_counter() - started) / rounds * 1e6))
     return Slope(
         name="route",
         what="choosing a route, microseconds a request",
@@ -125,17 +125,17 @@
     )
 
 
-def configuration_size() -> list[Slope]:
-    """Size of the configuration, and time to compare it, against client accounts."""
+def measure_configuration() -> list[Slope]:
+    """Measure size and digest time of the configuration against client accounts."""
     sizes: list[tuple[float, float]] = []
     times: list[tuple[float, float]] = []
     for accounts in (10, 250, 500, 1000, ACCOUNTS):
-        made = configuration(accounts, REPLICAS)
-        sizes.append((accounts, len(msgspec.msgpack.encode(made)) / 1024))
-        began = time.perf_counter()
+        built = configuration(accounts, REPLICAS)
+        sizes.append((accounts, len(msgspec.msgpack.encode(built)) / 1024))
+        started = time.perf_counter()
         for _ in range(20):
-            digest(made)
-        times.append((accounts, (time.perf_counter() - began) / 20 * 1000))
+            digest(built)
+        times.append((accounts, (time.perf_counter() - started) / 20 * 1000))
     return [
         Slope(
             name="configuration-size",
@@ -156,15 +156,15 @@
     ]
 
 
-def snapshots() -> list[Slope]:
-    """Size and time of a snapshot, against claims held with answers of 200 bytes."""
+def measure_snapshots() -> list[Slope]:
+    """Measure size and encoding time of a snapshot against claims with responses of 200 bytes."""
     sizes: list[tuple[float, float]] = []
     times: list[tuple[float, float]] = []
     for claims in (1000, 5000, 10_000, 20_000, 50_000):
         state = ClusterState()
-        held = state.claims.claims.setdefault("account", {})
+        account_claims = state.claims.claims.setdefault("account", {})
         for _ in range(claims):
-            held[canonical_key(new_key())] = Claim(
+            account_claims[canonical_key(new_key())] = Claim(
                 body_digest=b"0" * 16,
                 attempt="0" * 24,
                 deadline_ms=1,
@@ -173,9 +173,9 @@
                 content_type="application/json",
                 body=b"x" * 200,
             )
-        began = time.perf_counter()
+        started = time.perf_counter()
         data = encode_state(state)
-        times.append((claims, (time.perf_counter() - began) * 1000))
+        times.append((claims, (time.perf_counter() - started) * 1000))
         sizes.append((claims, len(data) / 1024 / 1024))
         assert decode_state(data) == state
     return [
--- a/bench/capacity/entry.py
+++ b/bench/capacity/entry.py
@@ -1,4 +1,4 @@
-"""Slopes of an entry box, measured with real processes."""
+"""Processor time and memory of an entry box, measured on processes."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from .fit import Slope
 
 STREAMS = 40
-QUIET_SECONDS = 8.0
+IDLE_SECONDS = 8.0
 
 
-def settled(fleet: Fleet) -> None:
-    """Configure a fleet and wait until it serves."""
+def wait_serving(fleet: Fleet) -> None:
+    """Configure a fleet and wait until it serves requests."""
     fleet.wait_leader()
     applied = fleet.configure()
     assert applied.returncode == 0, applied.stderr
@@ -26,7 +26,7 @@
 
 
 def engines(pairs: int, layer_seconds: float = 0.0003) -> list[EngineSpec]:
-    """Return pairs of engines that hold half of the layers each, in the first failure domain."""
+    """Return pairs of engines in the first failure domain; each engine holds half of the layers."""
     return [
         EngineSpec(
             name=f"fast-{number}-{half}",
@@ -40,13 +40,13 @@
     ]
 
 
-def per_request() -> tuple[Slope, Slope]:
-    """Processor time a request against tokens a request; memory against streams."""
+def measure_requests() -> tuple[Slope, Slope]:
+    """Measure processor time against tokens per request, and memory against streams."""
     cpu: list[tuple[float, float]] = []
     memory: list[tuple[float, float]] = []
     options = {"entries_per_domain": (1,), "engines": engines(3), "services": 0}
     with running_fleet(**options) as fleet:
-        settled(fleet)
+        wait_serving(fleet)
         url = fleet.url("entry-a1")
         anyio.run(run_burst, [url], STREAMS, 8)
         for tokens in (8, 16, 32, 64, 128):
@@ -56,7 +56,7 @@
             cpu.append((tokens, used / STREAMS * 1e6))
     for streams in (25, 50, 100, 200, 350):
         with running_fleet(**options) as fleet:
-            settled(fleet)
+            wait_serving(fleet)
             anyio.run(run_burst, [fleet.url("entry-a1")], streams, 24)
             memory.append((streams, usage_by_name(fleet)["entry-a1"].memory_mb))
     return (
@@ -77,17 +77,17 @@
     )
 
 
-def at_rest() -> Slope:
-    """Share of a core of an entry at rest against the engines that it watches."""
+def measure_idle_entry() -> Slope:
+    """Measure the processor share of an idle entry against the engines that it watches."""
     points: list[tuple[float, float]] = []
     for pairs in (1, 4, 8, 12):
         options = {"entries_per_domain": (1,), "engines": engines(pairs), "services": 0}
         with running_fleet(**options) as fleet:
-            settled(fleet)
-            before, began = usage_by_name(fleet), time.monotonic()
-            time.sleep(QUIET_SECONDS)
+            wait_serving(fleet)
+            before, started = usage_by_name(fleet), time.monotonic()
+            time.sleep(IDLE_SECONDS)
             used = usage_by_name(fleet)["entry-a1"].cpu_seconds - before["entry-a1"].cpu_seconds
-            points.append((pairs * 2, used / (time.monotonic() - began) * 100))
+            points.append((pairs * 2, used / (time.monotonic() - started) * 100))
     return Slope(
         name="entry-at-rest",
         what="entry at rest, % of a core",
--- a/bench/capacity/fit.py
+++ b/bench/capacity/fit.py
@@ -1,4 +1,4 @@
-"""Points, fitted lines and what they say at the size to come."""
+"""Linear fits through measured points, with plots and extrapolation to the planned size."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Slope:
-    """One measured dependency."""
+    """A quantity measured at several values of another one."""
 
     name: str
     """File name of its plot."""
 
     what: str
-    """What was measured, with its unit."""
+    """Measured quantity with its unit."""
 
     against: str
-    """What it depends on."""
+    """Independent variable."""
 
     points: list[tuple[float, float]]
-    """Measured points."""
+    """Measured pairs of independent variable and quantity."""
 
     target: float
-    """Value of `against` at the size to come."""
+    """Value of the independent variable at the planned size."""
 
     target_measured: bool = False
-    """True if the target itself was among the points."""
+    """True if `target` is among the measured points."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Fit:
-    """A straight line through points."""
+    """A line fitted through points, and its value at the target."""
 
-    base: float
+    intercept: float
     slope: float
     error: float
     """Root mean square of the residuals."""
@@ -55,24 +55,24 @@
     """Fit a line by least squares."""
     x = numpy.array([point[0] for point in slope.points])
     y = numpy.array([point[1] for point in slope.points])
-    gradient, base = numpy.polyfit(x, y, 1)
-    error = float(numpy.sqrt(numpy.mean((y - (gradient * x + base)) ** 2)))
+    gradient, intercept = numpy.polyfit(x, y, 1)
+    error = float(numpy.sqrt(numpy.mean((y - (gradient * x + intercept)) ** 2)))
     return Fit(
-        base=float(base),
+        intercept=float(intercept),
         slope=float(gradient),
         error=error,
-        at_target=float(gradient * slope.target + base),
+        at_target=float(gradient * slope.target + intercept),
     )
 
 
 def plot(slope: Slope, folder: Path) -> None:
-    """Write a plot of points and line."""
+    """Write a plot of the points and the fitted line."""
     fit = fit_line(slope)
     x = [point[0] for point in slope.points]
     figure, axes = plt.subplots(figsize=(5, 3.2))
     axes.plot(x, [point[1] for point in slope.points], "o")
     line = [min(x), slope.target]
-    axes.plot(line, [fit.base + fit.slope * value for value in line], "--")
+    axes.plot(line, [fit.intercept + fit.slope * value for value in line], "--")
     axes.set_xlabel(slope.against)
     axes.set_title(fill(slope.what, TITLE_WIDTH), fontsize=9)
     figure.tight_layout()
@@ -81,11 +81,11 @@
 
 
 def row(slope: Slope) -> str:
-    """Return the table row of a slope."""
+    """Return the Markdown table row of a slope."""
     fit = fit_line(slope)
     points = ", ".join(f"{x:g}: {y:.4g}" for x, y in slope.points)
-    kind = "measured there" if slope.target_measured else "extrapolated"
+    origin = "measured there" if slope.target_measured else "extrapolated"
     return (
-        f"| {slope.what} | {slope.against} | {points} | {fit.base:.4g} + {fit.slope:.4g} x "
-        f"| {fit.error:.3g} | {fit.at_target:.4g} at {slope.target:g} ({kind}) |"
+        f"| {slope.what} | {slope.against} | {points} | {fit.intercept:.4g} + {fit.slope:.4g} x "
+        f"| {fit.error:.3g} | {fit.at_target:.4g} at {slope.target:g} ({origin}) |"
     )
