--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: run by hand, reported in the documentation, never part of the tests."""
+"""Benchmarks, which are run manually and not by the tests."""
--- a/bench/bound.py
+++ b/bench/bound.py
@@ -1,4 +1,4 @@
-"""The bound that stand-in engines allow, by linear programming over sub-ranges of layers."""
+"""Upper bound of the throughput of stand-in engines, by linear programming."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 def seconds_per_layer(spec: EngineSpec) -> float:
-    """Return the time that one layer of one token takes in a full batch."""
+    """Return the time of one layer for one token in a full batch."""
     speed = Speed(layer_seconds=spec.layer_seconds)
     batch = spec.batch_limit
     return speed.layer_seconds * (1 + speed.batch_factor * (batch - 1)) / batch
 
 
-def bound(engines: list[EngineSpec], layers: int) -> float:
-    """Return the most tokens a second that any routing could reach with full batches.
+def throughput_bound(engines: list[EngineSpec], layers: int) -> float:
+    """Return the maximum throughput of any routing with full batches.
 
-    A flow runs from layer 0 to the last over edges (engine, first, end); each engine's edges share
-    its time.
+    Tokens are a flow from layer 0 to the last layer over edges of an engine and a range of its
+    layers. The edges of an engine share its time.
 
     Args:
         engines: The engines.
@@ -31,28 +31,30 @@
     Returns:
         Tokens a second.
     """
-    cuts = sorted({0, layers} | {spec.first for spec in engines} | {spec.end for spec in engines})
+    boundaries = sorted(
+        {0, layers} | {spec.first for spec in engines} | {spec.end for spec in engines}
+    )
     edges = [
         (number, first, end)
         for number, spec in enumerate(engines)
-        for first, end in combinations(cuts, 2)
+        for first, end in combinations(boundaries, 2)
         if spec.first <= first and end <= spec.end
     ]
-    busy = numpy.zeros((len(engines), len(edges)))
-    inner = cuts[1:-1]
-    balance = numpy.zeros((len(inner), len(edges)))
+    engine_seconds = numpy.zeros((len(engines), len(edges)))
+    inner_boundaries = boundaries[1:-1]
+    balance = numpy.zeros((len(inner_boundaries), len(edges)))
     for column, (number, first, end) in enumerate(edges):
-        busy[number, column] = (end - first) * seconds_per_layer(engines[number])
-        if end in inner:
-            balance[inner.index(end), column] += 1
-        if first in inner:
-            balance[inner.index(first), column] -= 1
-    gain = [-1.0 if first == 0 else 0.0 for _, first, _ in edges]
+        engine_seconds[number, column] = (end - first) * seconds_per_layer(engines[number])
+        if end in inner_boundaries:
+            balance[inner_boundaries.index(end), column] += 1
+        if first in inner_boundaries:
+            balance[inner_boundaries.index(first), column] -= 1
+    objective = [-1.0 if first == 0 else 0.0 for _, first, _ in edges]
     solution = linprog(
-        gain,
-        A_ub=busy,
+        objective,
+        A_ub=engine_seconds,
         b_ub=numpy.ones(len(engines)),
-        A_eq=balance if inner else None,
-        b_eq=numpy.zeros(len(inner)) if inner else None,
+        A_eq=balance if inner_boundaries else None,
+        b_eq=numpy.zeros(len(inner_boundaries)) if inner_boundaries else None,
     )
     return float(-solution.fun)
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Usage:
-    """What one process has used."""
+    """Resource usage of one process."""
 
     cpu_seconds: float
     memory_mb: float
 
 
 def usage_of(pid: int) -> Usage:
-    """Read one process."""
+    """Return the usage of one process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     cpu = (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
     status = Path(f"/proc/{pid}/status").read_text()
@@ -30,20 +30,20 @@
 
 
 def usage_by_name(fleet: Fleet) -> dict[str, Usage]:
-    """Read all processes of a fleet."""
+    """Return the usage of all processes of a fleet by name."""
     return {name: usage_of(process.pid) for name, process in fleet.processes.items()}
 
 
 def role_of(name: str) -> str:
-    """Return the role of a process by its name."""
+    """Return the role of a process from its name."""
     role = name.split("-")[0]
     return "engine" if role in ("fast", "slow") else role
 
 
-def by_role(
+def mean_usage_by_role(
     before: dict[str, Usage], after: dict[str, Usage], seconds: float
 ) -> dict[str, tuple[float, float]]:
-    """Return share of a core and memory in MB, as means over the processes of each role."""
+    """Return the mean share of a core and memory in MB of the processes of each role."""
     shares: dict[str, list[float]] = defaultdict(list)
     memory: dict[str, list[float]] = defaultdict(list)
     for name, usage in after.items():
--- a/bench/registry_load.py
+++ b/bench/registry_load.py
@@ -41,14 +41,14 @@
 
 SECRET: Final = "loopback-secret-0123456789"
 HEARTBEAT_SECONDS: Final = 1.0
-REST_SECONDS: Final = 6.0
-"""How long the fleet is watched at rest."""
+IDLE_SECONDS: Final = 6.0
+"""Duration of the idle phase."""
 
 REGISTER_SECONDS: Final = 2.5
-"""Time over which all upstreams register, and over which a part is replaced."""
+"""Time over which all upstreams register, and over which some are replaced."""
 
 REPLACED_SHARE: Final = 0.1
-"""Part of the upstreams that another run replaces at the end."""
+"""Share of the upstreams that new instances replace in the last phase."""
 
 DOMAINS: Final = ("a", "b", "c")
 
@@ -71,16 +71,16 @@
 """
 
 
-class Seen(msgspec.Struct):
-    """What the links received."""
+class Traffic(msgspec.Struct):
+    """Messages received over the links."""
 
     messages: Counter[str] = msgspec.field(default_factory=Counter)
-    """Number by kind."""
+    """Number of messages by type."""
 
     sizes: Counter[str] = msgspec.field(default_factory=Counter)
-    """Bytes by kind."""
+    """Bytes by type."""
 
-    def note(self, message: object) -> None:
+    def record(self, message: object) -> None:
         """Count a message."""
         kind = type(message).__name__
         self.messages[kind] += 1
@@ -88,7 +88,7 @@
 
 
 def identity(number: int, role: PeerRole) -> LinkIdentity:
-    """Return who a stand-in is."""
+    """Return the link identity of a stand-in box."""
     return LinkIdentity(
         cluster="ledgeladder",
         role=role,
@@ -99,10 +99,10 @@
     )
 
 
-def registration(number: int, run: int, sequence: int) -> Registration:
-    """Return what an upstream says of itself."""
+def registration(number: int, generation: int, sequence: int) -> Registration:
+    """Return the registration of an upstream's instance."""
     return Registration(
-        instance=f"i-{run:02}{number:08x}",
+        instance=f"i-{generation:02}{number:08x}",
         sequence=sequence,
         pool="lekhanam",
         address=f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8000",
@@ -114,65 +114,65 @@
 
 
 class Fleet:
-    """Stand-ins around one registry."""
+    """Stand-ins of the boxes and upstreams around one registry."""
 
     def __init__(self, args: argparse.Namespace, http: str, link: str) -> None:
         self.args = args
         self.http = http
         self.link = link
-        self.seen = Seen()
-        self.runs: Counter[int] = Counter()
-        self.beats = 0
-        self.late = 0
+        self.traffic = Traffic()
+        self.generations: Counter[int] = Counter()
+        self.heartbeats = 0
+        self.late_heartbeats = 0
 
-    async def beat(self, number: int) -> None:
-        """Send heartbeats of one upstream over a kept connection, for ever."""
+    async def send_heartbeats(self, number: int) -> None:
+        """Send heartbeats of one upstream over a kept connection until cancelled."""
         await anyio.sleep(random.random() * REGISTER_SECONDS)
         sequence = 0
         connection = await connect(self.http, source=None, seconds=5.0)
         while True:
             sequence += 1
-            said = registration(number, self.runs[number], sequence)
-            held = said.holdings[0]
+            current = registration(number, self.generations[number], sequence)
+            holding = current.holdings[0]
             body = msgspec.json.encode(
                 {
-                    "service": said.pool,
-                    "address": said.address,
-                    "zone": said.failure_domain,
+                    "service": current.pool,
+                    "address": current.address,
+                    "zone": current.failure_domain,
                     "version": "v1",
-                    "slots": said.slots,
+                    "slots": current.slots,
                     "state": "ready",
                     "coldRemainingMs": 0,
                     "sequence": sequence,
-                    "routeType": said.card,
-                    "layers": {"from": held.first, "targetVersion": held.end, "version": 1},
+                    "routeType": current.card,
+                    "layers": {"from": holding.first, "targetVersion": holding.end, "version": 1},
                 }
             )
             headers = [(b"Host", b"x"), (b"Content-Length", str(len(body)).encode())]
-            target = f"/api/replicas/{said.instance}".encode()
-            began = time.monotonic()
+            target = f"/api/replicas/{current.instance}".encode()
+            started = time.monotonic()
             await send_request(connection, b"PUT", target, headers, body)
             await read_head(connection)
             while await read_part(connection) is not None:
                 pass
-            self.beats += 1
-            self.late += time.monotonic() - began > HEARTBEAT_SECONDS
+            self.heartbeats += 1
+            self.late_heartbeats += time.monotonic() - started > HEARTBEAT_SECONDS
             connection.protocol.start_next_cycle()
             await anyio.sleep(HEARTBEAT_SECONDS)
 
     async def follow(self, number: int) -> None:
-        """Follow the registry as an entry box does, for ever."""
+        """Follow the registry as an entry box does, until cancelled."""
 
         async def serve(link: Link) -> None:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self.ask, number, link)
+                tasks.start_soon(self.query, number, link)
                 while True:
-                    self.seen.note(await link.receive())
+                    self.traffic.record(await link.receive())
 
         await keep_link(self.link, identity(number, PeerRole.ENTRY), serve, rng=random.Random())
 
-    async def ask(self, number: int, link: Link) -> None:
-        """Ask for versions, and report loads from every third box."""
+    async def query(self, number: int, link: Link) -> None:
+        """Query versions, and report loads from every third box."""
         link.post(DocumentPull(version=0))
         call = 0
         while True:
@@ -188,26 +188,26 @@
                 link.post(LoadReport(loads=loads))
             await anyio.sleep(1.0)
 
-    async def tell(self) -> None:
-        """Tell what another registry hears: news of its upstreams, then their ages."""
+    async def report_peer_upstreams(self) -> None:
+        """Connect as another registry and report the upstreams registered with it."""
 
         async def serve(link: Link) -> None:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self.tell_all, link)
+                tasks.start_soon(self.send_reports, link)
                 while True:
                     await link.receive()
 
         await keep_link(self.link, identity(200, PeerRole.CONTROL), serve, rng=random.Random())
 
-    async def tell_all(self, link: Link) -> None:
-        """Tell the news in steps of a tick, then ages."""
+    async def send_reports(self, link: Link) -> None:
+        """Send all registrations in batches, and then their ages every second."""
         first, count = self.args.upstreams, self.args.told
         numbers = list(range(first, first + count))
-        step = max(1, int(count * 0.01 / REGISTER_SECONDS))
-        for start in range(0, count, step):
-            for number in numbers[start : start + step]:
-                told = Liveness(registration=registration(number, 0, 1), age=0.0)
-                link.post(RegistrationUpdate(reported=(told,)))
+        batch = max(1, int(count * 0.01 / REGISTER_SECONDS))
+        for start in range(0, count, batch):
+            for number in numbers[start : start + batch]:
+                liveness = Liveness(registration=registration(number, 0, 1), age=0.0)
+                link.post(RegistrationUpdate(reported=(liveness,)))
             await anyio.sleep(0.01)
         order = UpstreamIndex(
             number=1, instances=tuple(registration(item, 0, 1).instance for item in numbers)
@@ -219,47 +219,49 @@
             await anyio.sleep(1.0)
 
     async def replace(self) -> None:
-        """Have a part of the upstreams replaced by other runs."""
+        """Replace some of the upstreams by new instances."""
         count = int(self.args.upstreams * REPLACED_SHARE)
         for number in random.sample(range(self.args.upstreams), count):
-            self.runs[number] += 1
+            self.generations[number] += 1
             await anyio.sleep(REGISTER_SECONDS / max(1, count))
 
     async def measure(self, pid: int) -> None:
-        """Run the phases and print a line for each."""
+        """Run all phases and print the load of each."""
         async with anyio.create_task_group() as tasks:
             for number in range(self.args.links):
                 tasks.start_soon(self.follow, number)
             await anyio.sleep(2.0)
             for number in range(self.args.upstreams):
-                tasks.start_soon(self.beat, number)
+                tasks.start_soon(self.send_heartbeats, number)
             if self.args.told:
-                tasks.start_soon(self.tell)
-            await self.phase(pid, "register", REGISTER_SECONDS + 1.0)
-            await self.phase(pid, "rest", REST_SECONDS)
+                tasks.start_soon(self.report_peer_upstreams)
+            await self.measure_phase(pid, "register", REGISTER_SECONDS + 1.0)
+            await self.measure_phase(pid, "rest", IDLE_SECONDS)
             tasks.start_soon(self.replace)
-            await self.phase(pid, "replace", REGISTER_SECONDS + 1.5)
+            await self.measure_phase(pid, "replace", REGISTER_SECONDS + 1.5)
             tasks.cancel_scope.cancel()
 
-    async def phase(self, pid: int, name: str, seconds: float) -> None:
-        """Measure one span of time."""
-        self.seen, self.beats, self.late = Seen(), 0, 0
-        before, began = usage_of(pid), time.monotonic()
+    async def measure_phase(self, pid: int, name: str, seconds: float) -> None:
+        """Measure one phase and print its load."""
+        self.traffic, self.heartbeats, self.late_heartbeats = Traffic(), 0, 0
+        before, started = usage_of(pid), time.monotonic()
         await anyio.sleep(seconds)
-        after, took = usage_of(pid), time.monotonic() - began
-        share = (after.cpu_seconds - before.cpu_seconds) / took
-        total = sum(self.seen.sizes.values()) / took / 1000
+        after, elapsed = usage_of(pid), time.monotonic() - started
+        share = (after.cpu_seconds - before.cpu_seconds) / elapsed
+        total = sum(self.traffic.sizes.values()) / elapsed / 1000
         print(
             f"{name:9} {share:6.1%} of a core  {after.memory_mb:6.1f} MB  {total:9.1f} kB/s out"
-            f"  {self.beats / took:6.0f} heartbeats/s  {self.late} late"
+            f"  {self.heartbeats / elapsed:6.0f} heartbeats/s  {self.late_heartbeats} late"
         )
-        for kind, size in self.seen.sizes.most_common(6):
-            count = self.seen.messages[kind]
-            print(f"    {kind:20} {size / took / 1000:9.1f} kB/s  {count / took:9.0f} a second")
+        for kind, size in self.traffic.sizes.most_common(6):
+            count = self.traffic.messages[kind]
+            print(
+                f"    {kind:20} {size / elapsed / 1000:9.1f} kB/s  {count / elapsed:9.0f} a second"
+            )
 
 
 def main() -> None:
-    """Run one registry with stand-ins around it."""
+    """Run one registry and measure its load."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--upstreams", type=int, default=600, help="upstreams that beat here")
     parser.add_argument("--told", type=int, default=2400, help="upstreams that others hear")
--- a/bench/streams.py
+++ b/bench/streams.py
@@ -1,6 +1,6 @@
-"""Concurrent streams through 8 entries: whole or not, speed, and what each role uses.
+"""Measures concurrent streams through all entries, and the resource usage of each role.
 
-`python -m bench.streams [STREAMS] [TOKENS]`
+Run as `python -m bench.streams [STREAMS] [TOKENS]`.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from standins.fleet import running_fleet
 from standins.load import describe_result, run_burst
 
-from .processes import by_role, usage_by_name
+from .processes import mean_usage_by_role, usage_by_name
 
 IDLE_SECONDS = 10.0
 
 
-def show(title: str, roles: dict[str, tuple[float, float]]) -> None:
-    """Print the use of each role."""
+def print_usage(title: str, roles: dict[str, tuple[float, float]]) -> None:
+    """Print the resource usage of each role."""
     print(title)
     for role in ("entry", "control", "engine", "service"):
         share, memory = roles[role]
@@ -35,15 +35,19 @@
         fleet.configure()
         fleet.wait_ready()
         fleet.wait_upstreams()
-        before, began = usage_by_name(fleet), time.monotonic()
+        before, started = usage_by_name(fleet), time.monotonic()
         time.sleep(IDLE_SECONDS)
-        show("idle:", by_role(before, usage_by_name(fleet), time.monotonic() - began))
+        print_usage(
+            "idle:", mean_usage_by_role(before, usage_by_name(fleet), time.monotonic() - started)
+        )
         urls = [fleet.url(name) for name in fleet.entry_names]
-        before, began = usage_by_name(fleet), time.monotonic()
+        before, started = usage_by_name(fleet), time.monotonic()
         result = anyio.run(run_burst, urls, streams, tokens)
-        seconds = time.monotonic() - began
+        seconds = time.monotonic() - started
         after = usage_by_name(fleet)
-        show(f"{streams} streams of {tokens} tokens:", by_role(before, after, seconds))
+        print_usage(
+            f"{streams} streams of {tokens} tokens:", mean_usage_by_role(before, after, seconds)
+        )
         print(describe_result(result))
         entries = fleet.entry_names
         cpu = sum(after[name].cpu_seconds - before[name].cpu_seconds for name in entries)
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -1,6 +1,6 @@
-"""Throughput at saturation as a share of the bound, beside the baselines, on the same fleet.
+"""Measures saturated throughput of each route choice, as a share of the upper bound.
 
-`python -m bench.throughput [STREAMS] [SECONDS]`
+Run as `python -m bench.throughput [STREAMS] [SECONDS]`.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 from standins.fleet import LAYERS, Fleet, default_engines, running_fleet
 from standins.load import LoadResult, quantiles, stream_once
 
-from .bound import bound
+from .bound import throughput_bound
 
-SLOWNESS = 10.0
-"""Engines are slowed down until they, and not this machine, are the limit."""
+ENGINE_SLOWDOWN = 10.0
+"""Multiplier of layer times, which makes the engines and not this machine the bottleneck."""
 
-BATCH = 16
-WARM_SECONDS = 4.0
+BATCH_LIMIT = 16
+WARM_UP_SECONDS = 4.0
 
 
 async def saturate(urls: list[str], streams: int, seconds: float) -> tuple[float, LoadResult]:
-    """Keep a number of streams in progress; returns tokens a second after warming up."""
+    """Keep `streams` streams in progress; returns tokens a second after the warm-up."""
     result = LoadResult()
     limits = httpx.Limits(max_connections=None, max_keepalive_connections=streams)
-    until = time.monotonic() + WARM_SECONDS + seconds
+    deadline = time.monotonic() + WARM_UP_SECONDS + seconds
     counted = 0
 
-    async def keep(client: httpx.AsyncClient, number: int) -> None:
-        turn = 0
-        while time.monotonic() < until:
-            turn += 1
-            prompt = f"saturated {number} {turn}"
-            url = urls[(number + turn) % len(urls)]
+    async def send_streams(client: httpx.AsyncClient, number: int) -> None:
+        request_number = 0
+        while time.monotonic() < deadline:
+            request_number += 1
+            prompt = f"saturated {number} {request_number}"
+            url = urls[(number + request_number) % len(urls)]
             await stream_once(client, url, prompt, 24, "nilayam", result)
 
     async with (
@@ -44,18 +44,18 @@
         anyio.create_task_group() as tasks,
     ):
         for number in range(streams):
-            tasks.start_soon(keep, client, number)
-        await anyio.sleep(WARM_SECONDS)
-        before = result.tokens
-        began = time.monotonic()
+            tasks.start_soon(send_streams, client, number)
+        await anyio.sleep(WARM_UP_SECONDS)
+        tokens_before = result.tokens
+        started = time.monotonic()
         await anyio.sleep(seconds)
-        counted = result.tokens - before
-        rate = counted / (time.monotonic() - began)
+        counted = result.tokens - tokens_before
+        rate = counted / (time.monotonic() - started)
     return rate, result
 
 
-def prepared(fleet: Fleet) -> list[str]:
-    """Configure a fleet and return the entries' addresses."""
+def configure(fleet: Fleet) -> list[str]:
+    """Configure a fleet, wait until it is ready, and return the URLs of its entries."""
     fleet.wait_leader()
     fleet.configure()
     fleet.wait_ready()
@@ -68,9 +68,10 @@
     streams = int(sys.argv[1]) if len(sys.argv) > 1 else 220
     seconds = float(sys.argv[2]) if len(sys.argv) > 2 else 12.0
     engines = [
-        dataclasses.replace(spec, batch_limit=BATCH) for spec in default_engines(scale=SLOWNESS)
+        dataclasses.replace(spec, batch_limit=BATCH_LIMIT)
+        for spec in default_engines(scale=ENGINE_SLOWDOWN)
     ]
-    limit = bound(engines, LAYERS)
+    limit = throughput_bound(engines, LAYERS)
     print(f"bound of the engines: {limit:.0f} tokens a second; {streams} streams kept in progress")
     print(
         "| choice | tokens a second | share of the bound | token gap ms 50/95/99/100 | outcomes |"
@@ -78,7 +79,7 @@
     print("| --- | --- | --- | --- | --- |")
     for choice in ("round-robin", "least-loaded", "better-of-two"):
         with running_fleet(engines=engines, route_choice=choice) as fleet:
-            rate, result = anyio.run(saturate, prepared(fleet), streams, seconds)
+            rate, result = anyio.run(saturate, configure(fleet), streams, seconds)
         share = rate / limit * 100
         gaps = quantiles(result.token_gap)
         outcomes = dict(result.outcomes)
