--- a/tests/daemons/test_gateway.py
+++ b/tests/daemons/test_gateway.py
@@ -1,4 +1,4 @@
-"""Requests over gateways, registries and upstreams that register, all as real processes."""
+"""Requests through gateways, registries and registered upstreams, which run as processes."""
 
 from __future__ import annotations
 
@@ -47,17 +47,17 @@
 
 
 def stream_text(first: int, end: int) -> str:
-    """Return the stream that engines produce."""
+    """Return the expected text of a stream."""
     return "".join(f"id: {number}\ndata: token-{number}\n\n" for number in range(first, end))
 
 
 def serves_streams(fleet: DiscoveredFleet, gateway: int) -> bool:
-    """Tell whether a gateway serves a stream, as it does once engines hold all layers."""
+    """Return True if a gateway serves streams, which requires engines for all layers."""
     return request(fleet, "draft", gateway=gateway).status_code == 200
 
 
-def lines_about(fleet: DiscoveredFleet, attempt_id: str) -> list[dict[str, Any]]:
-    """Return what gateways logged of a request, and which engines they found dead."""
+def log_lines_of(fleet: DiscoveredFleet, attempt_id: str) -> list[dict[str, Any]]:
+    """Return the gateways' log lines of a request and of engines that do not answer."""
     names = [name for name in fleet.boxes if name.startswith("gateway")]
     return [
         {key: value for key, value in line.items() if key not in ("logger", "failure_domain")}
@@ -135,11 +135,11 @@
 
 def test_newest_document_stays_and_broken_ones_are_refused(fleet: DiscoveredFleet) -> None:
     good = fleet.publish_next()
-    held = good["version"]
-    # A resend and an older one are acknowledged and change nothing.
+    version = good["version"]
+    # A duplicate and an older version are acknowledged without effect.
     assert fleet.publish(good, 1).status_code == 200
     assert fleet.publish(good | {"routes": []}, 2).status_code == 200
-    assert fleet.publish(example_document(held - 1), 0).status_code == 200
+    assert fleet.publish(example_document(version - 1), 0).status_code == 200
     for number in range(3):
         url = f"http://{fleet.control_addresses[number]}/api/config"
         assert fleet.client.get(url).json() == good
@@ -152,10 +152,10 @@
         {"tenants": [{"name": "a", "apiKeys": ["k"]}, {"name": "b", "apiKeys": ["k"]}]},
         {"services": None},
     ):
-        refused = fleet.publish(good | {"version": held + 1} | fault)
+        refused = fleet.publish(good | {"version": version + 1} | fault)
         assert refused.status_code == 400, fault
     url = f"http://{fleet.control_addresses[0]}/api/config"
-    assert fleet.client.get(url).json()["version"] == held
+    assert fleet.client.get(url).json()["version"] == version
 
 
 def test_revoked_key_stops_working_everywhere(fleet: DiscoveredFleet) -> None:
@@ -189,17 +189,17 @@
         }
         url = f"http://{fleet.caller_address(0)}/draft/x"
         with client.stream("POST", url, headers=fields) as answer:
-            parts = answer.iter_text()
-            text = next(parts)
+            chunks = answer.iter_text()
+            text = next(chunks)
             path = next(line for line in fleet.ledger() if line["id"] == "carried-on")["path"]
             second = path.split(",")[1].partition("=")[0].rpartition(":")[0]
             name = next(box.name for box in fleet.boxes.values() if box.ip == second)
             fleet.kill(name)
             try:
-                text += "".join(parts)
+                text += "".join(chunks)
             except httpx.HTTPError as error:
-                raise AssertionError(lines_about(fleet, "carried-on")) from error
-    assert text == stream_text(0, 60), lines_about(fleet, "carried-on")
+                raise AssertionError(log_lines_of(fleet, "carried-on")) from error
+    assert text == stream_text(0, 60), log_lines_of(fleet, "carried-on")
     fleet.restart(name)
 
 
@@ -215,17 +215,17 @@
 def test_leaving_upstream_gets_no_new_work(fleet: DiscoveredFleet) -> None:
     fleet.signal("services-1", signal.SIGTERM)
     wait_until(lambda: bool(fleet.ledger("draining")), 5, "draining")
-    left = fleet.ledger("draining")[0]
-    assert left["acknowledged"]
+    announcement = fleet.ledger("draining")[0]
+    assert announcement["acknowledged"]
     for number in range(30):
         answer = request(fleet, "status", gateway=number % 3, Attempt_Id=f"leaving-{number}")
-        assert answer.status_code == 200, lines_about(fleet, f"leaving-{number}")
-    late = [
+        assert answer.status_code == 200, log_lines_of(fleet, f"leaving-{number}")
+    late_requests = [
         line
         for line in fleet.ledger()
-        if line["upstream"] == left["upstream"] and line["at"] > left["at"] + 0.5
+        if line["upstream"] == announcement["upstream"] and line["at"] > announcement["at"] + 0.5
     ]
-    assert not late
+    assert not late_requests
     fleet.wait_exit("services-1")
     fleet.restart("services-1")
 
@@ -241,11 +241,11 @@
     with httpx.Client(timeout=10.0, trust_env=False) as client:
         url = f"http://{fleet.caller_address(2)}/draft/x"
         with client.stream("POST", url, headers=fields) as answer:
-            parts = answer.iter_text()
-            text = next(parts)
+            chunks = answer.iter_text()
+            text = next(chunks)
             fleet.signal("gateway-2", signal.SIGTERM)
             wait_until(lambda: not fleet.ready(2), 3, "unready")
-            text += "".join(parts)
+            text += "".join(chunks)
     assert text == stream_text(0, 100)
     assert fleet.wait_exit("gateway-2") == 0
     fleet.restart("gateway-2")
@@ -274,8 +274,8 @@
 def test_control_box_that_lost_its_disk_votes_again(fleet: DiscoveredFleet) -> None:
     document = fleet.publish_next()
     fleet.wipe(0)
-    wait_until(lambda: reads(fleet, 0) == document, 20, "the wiped box reads the document")
-    # With the wiped box a voter again, the loss of another leaves a majority.
+    wait_until(lambda: read_document(fleet, 0) == document, 20, "the wiped box reads the document")
+    # Once the wiped box is a voter again, the loss of another one leaves a majority.
     wait_until(lambda: is_voter(fleet, "registry-0"), 20, "the wiped box votes")
     fleet.kill("registry-1")
     fleet.publish_next()
@@ -283,9 +283,9 @@
 
 
 def test_disk_lost_after_all_control_boxes_were_paused(fleet: DiscoveredFleet) -> None:
-    """A box that asked to join under its old id comes back under a new one.
+    """A box that requested to join under its old id joins again under a new one.
 
-    The leader once swapped the two ids for each other hundreds of times a second.
+    Guards against a leader that keeps replacing the two ids by each other.
     """
     for number in range(3):
         fleet.signal(f"registry-{number}", signal.SIGSTOP)
@@ -303,7 +303,7 @@
 
 
 def member_changes(fleet: DiscoveredFleet) -> int:
-    """Return how often members of the log have changed, over all registries' logs."""
+    """Return the number of membership changes in the logs of all registries."""
     return sum(
         line["message"] == "members change"
         for name in fleet.boxes
@@ -312,8 +312,8 @@
     )
 
 
-def reads(fleet: DiscoveredFleet, number: int) -> object:
-    """Return the document that a registry answers with; None if it refuses or does not answer."""
+def read_document(fleet: DiscoveredFleet, number: int) -> object:
+    """Return the document of a registry; None if it refuses or does not respond."""
     try:
         answer = fleet.client.get(f"http://{fleet.control_addresses[number]}/api/config")
     except httpx.HTTPError:
@@ -322,7 +322,7 @@
 
 
 def is_voter(fleet: DiscoveredFleet, name: str) -> bool:
-    """Tell from the newest change of members whether a box votes under its newest id."""
+    """Return True if the newest membership change has the newest id of a box as a voter."""
     started = [line for line in fleet.log(name) if line["message"] == "registry starts"]
     lines = [
         line
@@ -342,7 +342,7 @@
     for number in range(3):
         fleet.restart(f"registry-{number}")
     for number in range(3):
-        wait_until(lambda: reads(fleet, number) == document, 20, "read back")  # noqa: B023
+        wait_until(lambda: read_document(fleet, number) == document, 20, "read back")  # noqa: B023
     time.sleep(0.1)
     wait_until(lambda: request(fleet, "status").status_code == 200, 15, "served again")
 
@@ -362,10 +362,9 @@
 
 
 def test_stopping_gateway_refuses_late_requests_as_not_run(fleet: DiscoveredFleet) -> None:
-    """A request on a kept connection near the end of a planned stop must not be taken and cut.
+    """A request on a kept connection near the end of a planned stop is never interrupted.
 
-    Streams are short: one of 200 tokens took 7.5 s on a machine with three times more to do than it
-    has processors, which is longer than a planned stop may take.
+    Streams are short enough to finish within a planned stop on an overloaded machine.
     """
     fields = {
         "Host": HOST,
@@ -381,12 +380,12 @@
         while time.monotonic() < deadline:
             fields["Attempt-Id"] = secrets.token_hex(8)
             try:
-                # Either whole, or refused, or not connected at all; never cut in the middle.
+                # Complete, refused or not connected, but never interrupted.
                 answer = client.post(url, headers=fields)
             except httpx.ConnectError:
                 break
             except httpx.RemoteProtocolError as error:
-                pytest.fail(f"{error}: {lines_about(fleet, fields['Attempt-Id'])}")
+                pytest.fail(f"{error}: {log_lines_of(fleet, fields['Attempt-Id'])}")
             statuses.append(answer.status_code)
             if answer.status_code == 200:
                 assert answer.text == stream_text(0, 30)
@@ -398,17 +397,16 @@
 
 
 def ignores_hang_up(pid: int) -> bool:
-    """Tell from the kernel's tables whether a process ignores or handles SIGHUP."""
+    """Return True if a process ignores or handles SIGHUP, according to /proc."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     masks = [line.split()[1] for line in lines if line.startswith(("SigIgn:", "SigCgt:"))]
     return any(int(mask, 16) & 1 << (signal.SIGHUP - 1) for mask in masks)
 
 
 def test_hang_up_during_the_start_ends_nothing(fleet: DiscoveredFleet) -> None:
-    """Found by soak seed 1010: a signal outside the time in which it is handled ended a process.
+    """Guards against an exit on SIGHUP before the handler is installed.
 
-    The test waits for the first moment in which the program can ignore it, long before it can
-    handle it: the start of the interpreter itself is not the program's.
+    Waits until the program ignores the signal, as it cannot do so while the interpreter starts.
     """
     fleet.kill("gateway-1")
     fleet.restart("gateway-1")
