--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The clock of event loops in tests."""
+"""Sets the clock of event loops in tests."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 from ledgeladder.daemons import clock
 
-# What the daemons run on keeps time by this clock. The loops of tests would differ from it by as
-# long as their machine was ever suspended.
+# Event loops of the daemons use this clock. The default clock of test loops differs from it by the
+# time that the machine was suspended.
 asyncio.BaseEventLoop.time = lambda _loop: clock.now()  # type: ignore[method-assign]
