--- a/tests/daemons/callers.py
+++ b/tests/daemons/callers.py
@@ -1,4 +1,4 @@
-"""Callers for tests against real processes."""
+"""Callers for tests against fleets of processes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def complete(fleet: Fleet, entry: str, prompt: str, count: int) -> httpx.Response:
-    """Ask for a whole answer."""
+    """Send a completion request without streaming."""
     body = {"model": "captions", "prompt": prompt, "max_tokens": count}
     url = f"{fleet.url(entry)}/v1/completions"
     return fleet.client.post(url, json=body, headers=KEY, timeout=60)
@@ -27,7 +27,7 @@
     return text == reference_answer(prompt, LAYERS, count)
 
 
-def book(
+def send_at_most_once(
     fleet: Fleet, entry: str, key: str, *, what: str = "booking", seconds: float = 0.0
 ) -> httpx.Response:
     """Send a request that may run at most once."""
@@ -38,7 +38,7 @@
 
 
 def executions(fleet: Fleet, key: str) -> int:
-    """Return how often the services ran a key, by their own count."""
+    """Return how often the services executed a key, by their own counters."""
     total = 0
     for name in fleet.processes:
         if name.startswith("service-"):
@@ -53,7 +53,7 @@
 
 @dataclass(kw_only=True)
 class Stream:
-    """A streamed answer that is read on a thread, so that the test can cause faults meanwhile."""
+    """A streaming request that a thread reads while the test injects faults."""
 
     fleet: Fleet
     entry: str
@@ -83,11 +83,11 @@
                     self.error = json.loads(response.read())["error"]
                     return
                 for line in response.iter_lines():
-                    self.take(line)
+                    self.handle_line(line)
         except httpx.HTTPError as error:
             self.error = {"type": type(error).__name__}
 
-    def take(self, line: str) -> None:
+    def handle_line(self, line: str) -> None:
         if line == "data: [DONE]":
             self.done = True
         elif line.startswith("data: "):
@@ -107,6 +107,6 @@
         assert not self.thread.is_alive()
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         right = self.text == reference_answer(self.prompt, LAYERS, self.count)
         return self.done and right and self.error is None
--- a/tests/daemons/conftest.py
+++ b/tests/daemons/conftest.py
@@ -1,4 +1,4 @@
-"""Fleets of real processes."""
+"""Fixtures with fleets of processes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .callers import complete
 
 
-def started(fleet: Fleet) -> Fleet:
+def configure_and_wait(fleet: Fleet) -> Fleet:
     fleet.wait_leader()
     applied = fleet.configure()
     assert applied.returncode == 0, applied.stderr
@@ -21,7 +21,7 @@
     return fleet
 
 
-def serves(fleet: Fleet, entry: str) -> bool:
+def is_serving(fleet: Fleet, entry: str) -> bool:
     return complete(fleet, entry, "again", 2).status_code == 200
 
 
@@ -29,12 +29,12 @@
 def fleet() -> Iterator[Fleet]:
     """A fleet behind the fault-injecting proxy: a box of each role in each failure domain."""
     with running_fleet(proxied=True, entries_per_domain=(1, 1, 1)) as running:
-        yield started(running)
+        yield configure_and_wait(running)
 
 
 @pytest.fixture
 def healed(fleet: Fleet) -> Iterator[Fleet]:
-    """The fleet, with all faults removed and all processes up again after the test."""
+    """The fleet; removes all faults and restarts all stopped processes after the test."""
     yield fleet
     assert fleet.proxy is not None
     fleet.proxy.heal()
@@ -48,6 +48,6 @@
     for name in fleet.entry_names:
         # An engine that was down gets no work until the boxes that probe it have checked it again.
         try:
-            wait_until(partial(serves, fleet, name), 20, f"{name} serving again")
+            wait_until(partial(is_serving, fleet, name), 20, f"{name} serving again")
         except TimeoutError as error:
             raise AssertionError(complete(fleet, name, "again", 2).text) from error
--- a/tests/daemons/test_at_most_once.py
+++ b/tests/daemons/test_at_most_once.py
@@ -13,7 +13,7 @@
 from standins.fleet import Fleet, domain_host, wait_until
 from standins.keys import new_key
 
-from .callers import book, executions
+from .callers import executions, send_at_most_once
 
 FIRST, SECOND = "entry-a1", "entry-b1"
 HOUR_MS = 3_600_000
@@ -22,7 +22,7 @@
 def book_in_background(fleet: Fleet, key: str, seconds: float) -> threading.Thread:
     def run() -> None:
         with contextlib.suppress(httpx.HTTPError):
-            book(fleet, FIRST, key, seconds=seconds)
+            send_at_most_once(fleet, FIRST, key, seconds=seconds)
 
     thread = threading.Thread(target=run, daemon=True)
     thread.start()
@@ -46,9 +46,9 @@
 
 def test_recorded_answer_is_returned_to_a_retry(healed: Fleet) -> None:
     key = new_key()
-    first = book(healed, FIRST, key)
+    first = send_at_most_once(healed, FIRST, key)
     assert first.status_code == 200, first.text
-    again = book(healed, SECOND, key)
+    again = send_at_most_once(healed, SECOND, key)
     assert (again.status_code, again.content) == (200, first.content)
     assert executions(healed, key) == 1
 
@@ -66,7 +66,7 @@
     thread.join(10)
     healed.proxy.heal()
     healed.wait_leader()
-    answer = book(healed, SECOND, key)
+    answer = send_at_most_once(healed, SECOND, key)
     assert answer.status_code == 200, answer.text
     assert executions(healed, key) == 1
 
@@ -81,7 +81,7 @@
     thread.join(10)
     assert healed.proxy is not None
     healed.proxy.heal()
-    answer = book(healed, SECOND, key)
+    answer = send_at_most_once(healed, SECOND, key)
     assert answer.json()["error"]["type"] in ("claim_running", "claim_unknown")
     assert answer.headers["ledgeladder-execution"] != "not-run"
     assert executions(healed, key) == 0
@@ -95,18 +95,18 @@
     time.sleep(0.5)
     healed.kill(FIRST)
     thread.join(10)
-    answer = book(healed, SECOND, key, seconds=3.0)
+    answer = send_at_most_once(healed, SECOND, key, seconds=3.0)
     assert answer.json()["error"]["type"] in ("claim_running", "claim_unknown")
     wait_until(lambda: executions(healed, key) == 1, 10, "the one execution")
-    assert book(healed, SECOND, key, seconds=3.0).status_code == 409
+    assert send_at_most_once(healed, SECOND, key, seconds=3.0).status_code == 409
     assert executions(healed, key) == 1
 
 
 def test_entry_killed_after_answer(healed: Fleet) -> None:
     key = new_key()
-    first = book(healed, FIRST, key)
+    first = send_at_most_once(healed, FIRST, key)
     healed.kill(FIRST)
-    again = book(healed, SECOND, key)
+    again = send_at_most_once(healed, SECOND, key)
     assert (again.status_code, again.content) == (200, first.content)
     assert executions(healed, key) == 1
 
@@ -115,7 +115,9 @@
     key = new_key()
     answers: list[httpx.Response] = []
     threads = [
-        threading.Thread(target=lambda entry=entry: answers.append(book(healed, entry, key)))
+        threading.Thread(
+            target=lambda entry=entry: answers.append(send_at_most_once(healed, entry, key))
+        )
         for entry in healed.entry_names * 4
     ]
     for thread in threads:
@@ -131,7 +133,7 @@
     key = new_key()
     thread_answer: list[httpx.Response] = []
     thread = threading.Thread(
-        target=lambda: thread_answer.append(book(healed, FIRST, key, seconds=3.0))
+        target=lambda: thread_answer.append(send_at_most_once(healed, FIRST, key, seconds=3.0))
     )
     thread.start()
     time.sleep(0.8)
@@ -144,7 +146,7 @@
         if name.startswith("service-"):
             healed.launch(name)
     healed.wait_upstreams()
-    again = book(healed, SECOND, key, seconds=3.0)
+    again = send_at_most_once(healed, SECOND, key, seconds=3.0)
     assert again.json()["error"]["type"] == "claim_unknown"
     assert executions(healed, key) == 0
 
@@ -158,13 +160,13 @@
     for target in list(healed.proxy.targets):
         if f"{target[0]}:{target[1]}" in [healed.addresses[name] for name in services]:
             healed.proxy.set_target(target, Fault(refuse=True))
-    refused = book(healed, FIRST, key)
+    refused = send_at_most_once(healed, FIRST, key)
     assert refused.status_code in (502, 503)
     healed.proxy.heal()
     for name in services:
         healed.launch(name)
     healed.wait_upstreams()
-    answer = book(healed, SECOND, key)
+    answer = send_at_most_once(healed, SECOND, key)
     assert executions(healed, key) <= 1
     assert (answer.status_code == 200) == (executions(healed, key) == 1)
 
@@ -179,14 +181,14 @@
     ],
 )
 def test_bad_keys(healed: Fleet, key: str, kind: str) -> None:
-    answer = book(healed, FIRST, key)
+    answer = send_at_most_once(healed, FIRST, key)
     assert answer.json()["error"]["type"] == kind
     assert executions(healed, key) == 0
 
 
 def test_same_key_with_another_body(healed: Fleet) -> None:
     key = new_key()
-    book(healed, FIRST, key, what="one")
-    answer = book(healed, SECOND, key, what="two")
+    send_at_most_once(healed, FIRST, key, what="one")
+    answer = send_at_most_once(healed, SECOND, key, what="two")
     assert answer.json()["error"]["type"] == "idempotency_key_reused"
     assert executions(healed, key) == 1
--- a/tests/daemons/test_bad_input.py
+++ b/tests/daemons/test_bad_input.py
@@ -93,7 +93,7 @@
     binary = connect_to(healed, "entry-a1")
     binary.sendall(os.urandom(4096))
     stream.join()
-    assert stream.whole, stream.error
+    assert stream.is_complete, stream.error
     for incomplete in incomplete_requests:
         incomplete.close()
 
--- a/tests/daemons/test_control_faults.py
+++ b/tests/daemons/test_control_faults.py
@@ -15,13 +15,13 @@
 from standins.fleet import Fleet, running_fleet, wait_until
 
 from .callers import answer_is_right, complete
-from .conftest import started
+from .conftest import configure_and_wait
 
 
 @pytest.fixture
 def fresh() -> Iterator[Fleet]:
     with running_fleet(entries_per_domain=(1, 1, 1), services=1) as running:
-        yield started(running)
+        yield configure_and_wait(running)
 
 
 def priority_change(change_id: str, base: int, rank: int, name: str = "raced") -> dict[str, Any]:
--- a/tests/daemons/test_crashing_generation.py
+++ b/tests/daemons/test_crashing_generation.py
@@ -14,7 +14,7 @@
 from standins.fleet import Fleet, running_fleet, wait_until
 
 from .callers import KEY, complete
-from .conftest import started
+from .conftest import configure_and_wait
 
 ATTEMPTS = 8
 """Number of requests of the caller, to all entry boxes in turn."""
@@ -27,7 +27,7 @@
 def fleet() -> Iterator[Fleet]:
     """A fleet without a proxy, which would accept connections to processes that have exited."""
     with running_fleet(entries_per_domain=(1, 1, 1)) as running:
-        yield started(running)
+        yield configure_and_wait(running)
 
 
 def generate(fleet: Fleet, entry: str, prompt: str) -> httpx.Response:
--- a/tests/daemons/test_domain_cuts.py
+++ b/tests/daemons/test_domain_cuts.py
@@ -13,7 +13,7 @@
 from standins.fleet import DOMAINS, Fleet, domain_host, wait_until
 from standins.keys import new_key
 
-from .callers import answer_is_right, book, complete, executions
+from .callers import answer_is_right, complete, executions, send_at_most_once
 from .test_control_faults import entry_versions, priority_change, submit, version
 
 TOKENS = 6
@@ -89,17 +89,23 @@
     accepted = submit(healed, priority_change(f"cut-{domain}", base, 5), 30)
     assert accepted["version"] == base + 1
     key = new_key()
-    refused = book(healed, inside, key)
+    refused = send_at_most_once(healed, inside, key)
     assert refused.json()["error"]["type"] == "no_quorum"
     assert refused.headers["ledgeladder-execution"] == "not-run"
     assert "retry-after" in refused.headers
     assert executions(healed, key) == 0
-    wait_until(lambda: book(healed, outside, new_key()).status_code == 200, 20, "a booking")
+    wait_until(
+        lambda: send_at_most_once(healed, outside, new_key()).status_code == 200, 20, "a booking"
+    )
 
     healed.proxy.heal()
     callers.wait_for_more()
     wait_until(lambda: entry_versions(healed) == {base + 1}, 30, "all entries on one version")
-    wait_until(lambda: book(healed, inside, new_key()).status_code == 200, 20, "a booking inside")
+    wait_until(
+        lambda: send_at_most_once(healed, inside, new_key()).status_code == 200,
+        20,
+        "a booking inside",
+    )
 
 
 def test_entry_restarted_in_a_partition_syncs_with_its_side(healed: Fleet) -> None:
--- a/tests/daemons/test_orders.py
+++ b/tests/daemons/test_orders.py
@@ -13,7 +13,7 @@
 from standins.fleet import Fleet, default_engines, running_fleet, wait_until
 
 from .callers import Stream, engine_stats
-from .conftest import started
+from .conftest import configure_and_wait
 
 
 @pytest.fixture(scope="module")
@@ -24,7 +24,7 @@
         for spec in default_engines()
     ]
     with running_fleet(entries_per_domain=(2, 2, 2), engines=engines) as running:
-        yield started(running)
+        yield configure_and_wait(running)
 
 
 def versions(fleet: Fleet) -> set[str]:
@@ -41,7 +41,7 @@
     wait_until(lambda: versions(mixed) == {"v1"}, 60, "v1 on all engines")
     for stream in streams:
         stream.join()
-        assert stream.whole, stream.error
+        assert stream.is_complete, stream.error
 
 
 def pause_leader_with_a_pending_order(fleet: Fleet) -> str:
--- a/tests/daemons/test_planned_stops.py
+++ b/tests/daemons/test_planned_stops.py
@@ -11,8 +11,8 @@
 from standins.fleet import Fleet, running_fleet, wait_until
 from standins.keys import new_key
 
-from .callers import Stream, book, engine_stats
-from .conftest import started
+from .callers import Stream, engine_stats, send_at_most_once
+from .conftest import configure_and_wait
 
 TOKENS = 30
 
@@ -20,7 +20,7 @@
 @pytest.fixture(scope="module")
 def eight_entries() -> Iterator[Fleet]:
     with running_fleet(entries_per_domain=(3, 3, 2)) as running:
-        yield started(running)
+        yield configure_and_wait(running)
 
 
 class LoadBalancer:
@@ -64,7 +64,7 @@
             ready = self.ready
             if ready:
                 entry = ready[number % len(ready)]
-                self.bookings.append(book(self.fleet, entry, new_key()).status_code)
+                self.bookings.append(send_at_most_once(self.fleet, entry, new_key()).status_code)
             time.sleep(0.1)
 
     def stop(self) -> None:
@@ -88,7 +88,9 @@
         # The next box may stop only after this one has caught up with the log.
         wait_until(lambda name=name: has_caught_up(eight_entries, name), 20, f"{name} caught up")
     balancer.stop()
-    interrupted = [(stream.prompt, stream.error) for stream in balancer.streams if not stream.whole]
+    interrupted = [
+        (stream.prompt, stream.error) for stream in balancer.streams if not stream.is_complete
+    ]
     assert not interrupted
     assert len(balancer.streams) > 50
     assert set(balancer.bookings) == {200}
@@ -124,7 +126,7 @@
     ]
     for stream in running + later:
         stream.join()
-        assert stream.whole, stream.error
+        assert stream.is_complete, stream.error
     assert engine_stats(eight_entries, name)["counts"].get("runs", 0) == runs
     eight_entries.client.post(control, json={"leaving": False})
 
@@ -143,6 +145,6 @@
     ]
     for stream in streams:
         stream.join()
-        assert stream.whole, stream.error
+        assert stream.is_complete, stream.error
     assert engine_stats(eight_entries, name)["counts"].get("runs", 0) == runs
     eight_entries.client.post(f"{eight_entries.url('platform')}/standin/leaving", json=[])
--- a/tests/daemons/test_resting_upstreams.py
+++ b/tests/daemons/test_resting_upstreams.py
@@ -15,7 +15,7 @@
 from standins.fleet import Fleet, running_fleet, wait_until
 
 from .callers import complete
-from .conftest import started
+from .conftest import configure_and_wait
 from .test_crashing_generation import call
 
 ENTRY = "entry-a1"
@@ -33,7 +33,7 @@
 @pytest.fixture(scope="module")
 def fleet() -> Iterator[Fleet]:
     with running_fleet(entries_per_domain=(1, 1, 1)) as running:
-        yield started(running)
+        yield configure_and_wait(running)
 
 
 @pytest.fixture(autouse=True)
--- a/tests/daemons/test_stage_loss.py
+++ b/tests/daemons/test_stage_loss.py
@@ -55,7 +55,7 @@
     healed.signal(victims[0], number)
     lost_at = stream.tokens
     stream.join()
-    assert stream.whole, (stream.error, stream.tokens)
+    assert stream.is_complete, (stream.error, stream.tokens)
     assert stream.usage["attempts"] >= 2, (victims, busy, before, lost_at)
 
 
@@ -66,7 +66,7 @@
         healed.kill(busy_engines(healed)[-1])
         wait_until(lambda before=before: stream.tokens > before + 10, 20, "tokens after a loss")
     stream.join()
-    assert stream.whole, (stream.error, stream.tokens)
+    assert stream.is_complete, (stream.error, stream.tokens)
 
 
 def test_caller_that_leaves_is_cancelled_on_every_stage(healed: Fleet) -> None:
