--- a/src/ledgeladder/routing/upstream_table.py
+++ b/src/ledgeladder/routing/upstream_table.py
@@ -44,7 +44,7 @@
     """True if the boxes that monitor it get no answer."""
 
     backoff_until: float = -math.inf
-    """End of the back-off that it asked for, on the monotonic clock."""
+    """End of the back-off that it requested, on the monotonic clock."""
 
     limit: GrantedLimit | None = None
     """Its rate limit over all boxes; None if it has none."""
@@ -112,7 +112,7 @@
 
 
 def record_backoff(view: UpstreamView, seconds: float, now: float) -> None:
-    """Record a back-off that an upstream asked for; an earlier back-off is never shortened.
+    """Record a back-off that an upstream requested; an earlier back-off is never shortened.
 
     Unlike suspicion, a back-off isn't cleared by the success of an earlier request.
 
@@ -126,7 +126,7 @@
         return
     view.backoff_until = until
     logger.warning(
-        "upstream asks for rest",
+        "upstream requested back-off",
         extra={"upstream": view.upstream.name, "seconds": round(seconds, 3)},
     )
 
