--- a/src/ledgeladder/daemons/gateway/control_link.py
+++ b/src/ledgeladder/daemons/gateway/control_link.py
@@ -276,11 +276,11 @@
     for instance, age in updates:
         known = state.table.upstreams.get(instance)
         if known is not None:
-            known.last_seen = max(known.last_seen, now - age)
+            known.last_seen_at = max(known.last_seen_at, now - age)
     expired = [
         instance
         for instance, known in state.table.upstreams.items()
-        if now - known.last_seen > UPSTREAM_EXPIRY_SECONDS
+        if now - known.last_seen_at > UPSTREAM_EXPIRY_SECONDS
     ]
     for instance in expired:
         drop_upstream(state.table, instance)
--- a/src/ledgeladder/routing/forwarding_table.py
+++ b/src/ledgeladder/routing/forwarding_table.py
@@ -59,7 +59,7 @@
     registration: Registration
     """Its newest registration."""
 
-    last_seen: float
+    last_seen_at: float
     """When any box last saw a heartbeat of it, on the local monotonic clock."""
 
     started_at: float = 0.0
@@ -179,14 +179,14 @@
 
 
 def put_registration(
-    table: ForwardingTable, registration: Registration, last_seen: float
+    table: ForwardingTable, registration: Registration, last_seen_at: float
 ) -> ForwardedUpstream | None:
     """Add or update an upstream from a registration that is newer than the known one.
 
     Args:
         table: The table.
         registration: The registration.
-        last_seen: When the upstream's heartbeat was seen, on the local monotonic clock.
+        last_seen_at: When the upstream's heartbeat was seen, on the local monotonic clock.
 
     Returns:
         The upstream, or None if it is gone.
@@ -195,7 +195,7 @@
     if registration.state is UpstreamState.EXITED:
         drop_upstream(table, registration.instance)
         return None
-    started_at = estimate_start(registration, last_seen, table.heartbeat)
+    started_at = estimate_start(registration, last_seen_at, table.heartbeat)
     if upstream is None:
         # The first heartbeat is sent at the start, so the instance is one interval younger.
         backpressure = find_backpressure(
@@ -203,7 +203,7 @@
         )
         upstream = ForwardedUpstream(
             registration=registration,
-            last_seen=last_seen,
+            last_seen_at=last_seen_at,
             started_at=started_at,
             backpressure=backpressure,
             limit=table.limits.limits.get(registration.instance),
@@ -217,7 +217,7 @@
         table.pools.setdefault(registration.pool, []).append(upstream)
     upstream.registration = registration
     upstream.started_at = min(upstream.started_at, started_at)
-    upstream.last_seen = max(upstream.last_seen, last_seen)
+    upstream.last_seen_at = max(upstream.last_seen_at, last_seen_at)
     return upstream
 
 
@@ -298,7 +298,7 @@
     Returns:
         False if the loss was known.
     """
-    if upstream.lost_at > upstream.last_seen:
+    if upstream.lost_at > upstream.last_seen_at:
         return False
     upstream.lost_at = now
     return True
@@ -448,7 +448,7 @@
     """Return whether an upstream may receive new requests now."""
     if not accepts_work(upstream, now) or now < upstream.avoid_until:
         return False
-    return upstream.last_seen > upstream.lost_at + LAST_SEEN_MARGIN_SECONDS
+    return upstream.last_seen_at > upstream.lost_at + LAST_SEEN_MARGIN_SECONDS
 
 
 def has_alternative(
@@ -485,7 +485,7 @@
 
 def is_inactive(upstream: ForwardedUpstream, now: float) -> bool:
     """Return whether no heartbeat of an upstream was seen for so long that it is likely lost."""
-    return now - upstream.last_seen > INACTIVE_SECONDS
+    return now - upstream.last_seen_at > INACTIVE_SECONDS
 
 
 def slow_factor(upstream: ForwardedUpstream, now: float) -> float:
--- a/src/ledgeladder/routing/paths.py
+++ b/src/ledgeladder/routing/paths.py
@@ -317,7 +317,7 @@
     if registration.instance in excluded:
         return "failed this request"
     if not is_usable(engine, now):
-        return "lost" if engine.lost_at > engine.last_seen else "avoided"
+        return "lost" if engine.lost_at > engine.last_seen_at else "avoided"
     return "" if engine_offers(profile, engine, request, now) else NO_CAPACITY
 
 
--- a/tests/daemons/gateway/builders.py
+++ b/tests/daemons/gateway/builders.py
@@ -38,7 +38,7 @@
 
 def engine(instance: str = "i-1", address: str = "127.0.0.1:1") -> ForwardedUpstream:
     registration = Registration(instance=instance, sequence=1, address=address)
-    return ForwardedUpstream(registration=registration, last_seen=0.0)
+    return ForwardedUpstream(registration=registration, last_seen_at=0.0)
 
 
 def path_over(*engines: ForwardedUpstream) -> ChosenPath:
--- a/tests/daemons/gateway/test_loss_updates.py
+++ b/tests/daemons/gateway/test_loss_updates.py
@@ -33,9 +33,11 @@
     """Handle a report, and return whether streams are affected."""
 
     async def run() -> bool:
-        known.last_seen = anyio.current_time() - 0.5
+        known.last_seen_at = anyio.current_time() - 0.5
         affected = handle_loss_update(state, "i-1")
-        assert not is_usable(known, anyio.current_time()) or known.last_success_at > known.last_seen
+        assert (
+            not is_usable(known, anyio.current_time()) or known.last_success_at > known.last_seen_at
+        )
         return affected is not None
 
     return anyio.run(run)
@@ -44,8 +46,8 @@
 def test_unreachable_engine_gets_no_new_work_until_its_next_heartbeat() -> None:
     state, known = known_engine()
     assert not handle(state, known)
-    known.last_seen = known.lost_at + 1.0
-    assert is_usable(known, known.last_seen + 1.0)
+    known.last_seen_at = known.lost_at + 1.0
+    assert is_usable(known, known.last_seen_at + 1.0)
 
 
 def test_recent_progress_outweighs_a_report_of_others() -> None:
--- a/tests/routing/backoff_simulation.py
+++ b/tests/routing/backoff_simulation.py
@@ -160,7 +160,7 @@
                     failure_domain=item.domain,
                     slots=SLOTS,
                 ),
-                last_seen=float("inf"),
+                last_seen_at=float("inf"),
             )
             for item in self.services
         ]
--- a/tests/routing/fleet_simulation.py
+++ b/tests/routing/fleet_simulation.py
@@ -197,7 +197,7 @@
             SimulatedBox(
                 failure_domain=self.domains[number % len(self.domains)],
                 engines={
-                    name: ForwardedUpstream(registration=engine.registration, last_seen=1e9)
+                    name: ForwardedUpstream(registration=engine.registration, last_seen_at=1e9)
                     for name, engine in self.engines.items()
                 },
                 rng=random.Random(seed * 1000 + number),
--- a/tests/routing/test_forwarding.py
+++ b/tests/routing/test_forwarding.py
@@ -101,7 +101,9 @@
 
 
 def test_concurrent_failures_count_once_and_avoidance_expires() -> None:
-    upstream = ForwardedUpstream(registration=Registration(instance="i", sequence=1), last_seen=0.0)
+    upstream = ForwardedUpstream(
+        registration=Registration(instance="i", sequence=1), last_seen_at=0.0
+    )
     for _ in range(20):
         record_failure(upstream, 1.0)
     assert upstream.failures == 1
@@ -118,7 +120,7 @@
 
     def upstream(name: str) -> ForwardedUpstream:
         registration = Registration(instance=name, sequence=1, failure_domain="b")
-        return ForwardedUpstream(registration=registration, last_seen=0.0)
+        return ForwardedUpstream(registration=registration, last_seen_at=0.0)
 
     record_domain_failure(suspected, upstream("one"), 1.0)
     record_domain_failure(suspected, upstream("one"), 1.1)
@@ -164,7 +166,7 @@
     def upstream(name: str, address: str, *, draining: bool = False) -> ForwardedUpstream:
         state = UpstreamState.DRAINING if draining else UpstreamState.READY
         registration = Registration(instance=name, sequence=1, address=address, state=state)
-        return ForwardedUpstream(registration=registration, last_seen=0.0)
+        return ForwardedUpstream(registration=registration, last_seen_at=0.0)
 
     own, older = upstream("own", "a:1"), upstream("older", "a:1")
     draining, avoided = upstream("draining", "b:1", draining=True), upstream("avoided", "c:1")
@@ -189,19 +191,19 @@
 def test_lost_upstream_gets_no_requests_until_it_is_seen_again() -> None:
     """Its registration outlives it; each request retries_sent to it meanwhile would be refused."""
     upstream = ForwardedUpstream(
-        registration=Registration(instance="i-1", sequence=1), last_seen=9.5
+        registration=Registration(instance="i-1", sequence=1), last_seen_at=9.5
     )
     record_loss(upstream, 10.0)
     assert not is_usable(upstream, 60.0)
-    upstream.last_seen = 10.02
+    upstream.last_seen_at = 10.02
     assert not is_usable(upstream, 60.0)
-    upstream.last_seen = 11.2
+    upstream.last_seen_at = 11.2
     assert is_usable(upstream, 11.3)
 
 
 def test_lost_upstream_that_serves_a_request_is_used_again() -> None:
     upstream = ForwardedUpstream(
-        registration=Registration(instance="i-1", sequence=1), last_seen=9.5
+        registration=Registration(instance="i-1", sequence=1), last_seen_at=9.5
     )
     record_loss(upstream, 10.0)
     record_success(upstream)
--- a/tests/routing/test_link_load.py
+++ b/tests/routing/test_link_load.py
@@ -37,7 +37,7 @@
         card="fast",
         holdings=(Holding(first=first, end=first + 40),),
     )
-    return ForwardedUpstream(registration=registration, last_seen=0.0)
+    return ForwardedUpstream(registration=registration, last_seen_at=0.0)
 
 
 POOL = [make_engine("a", 0), make_engine("b", 40), make_engine("c", 40)]
--- a/tests/routing/test_paths.py
+++ b/tests/routing/test_paths.py
@@ -56,7 +56,7 @@
             card=item.card,
             holdings=(item.holding,),
         )
-        made.append(ForwardedUpstream(registration=registration, last_seen=now))
+        made.append(ForwardedUpstream(registration=registration, last_seen_at=now))
     return made
 
 
@@ -162,11 +162,11 @@
     old = pool[0]
     restarted = ForwardedUpstream(
         registration=msgspec.structs.replace(old.registration, instance="restarted"),
-        last_seen=5.0,
+        last_seen_at=5.0,
         started_at=5.0,
     )
     # A delayed heartbeat of the old instance arrives.
-    old.last_seen = 5.05
+    old.last_seen_at = 5.05
     path = choose_path(PROFILE, [*pool, restarted], make_request(), 5.1)
     assert path is not None
     addresses = [part.address for part in path.parts]
@@ -229,7 +229,7 @@
         card="fast",
         holdings=(holding,),
     )
-    return ForwardedUpstream(registration=registration, last_seen=0.0)
+    return ForwardedUpstream(registration=registration, last_seen_at=0.0)
 
 
 def inter_domain_hops(path: ChosenPath) -> list[tuple[str, str]]:
--- a/tests/routing/test_rate_grants.py
+++ b/tests/routing/test_rate_grants.py
@@ -35,7 +35,7 @@
 
 def upstream(name: str, limit: GrantedLimit | None = None) -> ForwardedUpstream:
     registration = Registration(instance=name, sequence=1, address=f"{name}:80", slots=6)
-    return ForwardedUpstream(registration=registration, last_seen=0.0, limit=limit)
+    return ForwardedUpstream(registration=registration, last_seen_at=0.0, limit=limit)
 
 
 def test_limited_upstream_gets_only_granted_requests() -> None:
