--- a/src/ledgeladder/daemons/registry/http_api.py
+++ b/src/ledgeladder/daemons/registry/http_api.py
@@ -39,8 +39,8 @@
 """Largest document that an operator may publish."""
 
 READ_TIMEOUT_SECONDS: Final = 0.8
-"""How long a read waits until the newest version is confirmed. Below the one second after which
-operators try another box."""
+"""Timeout of a read for confirming the newest version. Shorter than the 1 s after which operators
+try another box."""
 
 OK: Final = 200
 
@@ -106,9 +106,8 @@
 def _accepts_pool(state: RegistryState, registration: Registration) -> bool:
     """Return whether a registration is acceptable with the pools of the document.
 
-    Accepted without such a pool are all registrations while there is no document, those of draining
-    and exited upstreams, and those of upstreams that registered before the document dropped their
-    pool.
+    A registration for an unknown pool is accepted while there is no document, if the upstream is
+    draining or has exited, or if it registered before the document dropped the pool.
     """
     if state.configuration is None or registration.state is not UpstreamState.READY:
         return True
--- a/src/ledgeladder/daemons/registry/main.py
+++ b/src/ledgeladder/daemons/registry/main.py
@@ -1,4 +1,4 @@
-"""The registry process: a member of the replicated log with registrations and engine placement."""
+"""Registry process: builds its state and supervises its tasks."""
 
 from __future__ import annotations
 
--- a/src/ledgeladder/daemons/registry/order_sending.py
+++ b/src/ledgeladder/daemons/registry/order_sending.py
@@ -81,9 +81,8 @@
 
     Returns:
         Outcome reported by the engine. `NO_ANSWER` also if the order was not sent because the
-        engine is unreachable or busy with another order, or this box does not lead any more;
-        `BACKING_OFF` while the engine requests back-off. In both cases the order is due again
-        later.
+        engine is unreachable or busy with another order, or this box no longer leads; `BACKING_OFF`
+        while the engine requests back-off. In both cases the order is due again later.
     """
     if is_backing_off(state.backoffs, engine.instance, clock.now()):
         return OrderOutcome.BACKING_OFF
--- a/src/ledgeladder/daemons/registry/placement.py
+++ b/src/ledgeladder/daemons/registry/placement.py
@@ -108,7 +108,7 @@
 
 
 def _with_slots(pool: UpstreamPool, engines: list[Registration]) -> UpstreamPool:
-    """Return a pool whose profile has the smallest number of slots that its engines report."""
+    """Return the pool with the smallest slot count above 1 that its engines report."""
     assert pool.engine is not None
     slots = min((item.slots for item in engines if item.slots > 1), default=0)
     return msgspec.structs.replace(pool, engine=msgspec.structs.replace(pool.engine, slots=slots))
@@ -130,9 +130,9 @@
     """Return the orders to engines without layers that are sent now.
 
     The initial plan is ordered as a whole, since nothing is served before all of it is loaded. Once
-    half of the engines hold layers, the open loads are limited to those that run at full speed,
-    which returns the most urgent engines soonest. Moves that close a gap are not limited, since a
-    failure domain serves only once all of them are loaded.
+    half of the engines hold layers, no more loads run concurrently than reach full speed, so the
+    most urgent engines are ready soonest. Moves that close a gap are not limited, since a failure
+    domain serves only once all of them are loaded.
 
     Args:
         state: The process's state.
--- a/src/ledgeladder/daemons/registry/telling.py
+++ b/src/ledgeladder/daemons/registry/telling.py
@@ -52,9 +52,9 @@
 it immediately."""
 
 MIN_UPDATE_INTERVAL_SECONDS: Final = 0.05
-"""Minimum interval between two frames of registrations. Those within it share a frame, since each
-frame goes over every link. The delay is short enough for draining upstreams, which serve on for
-seconds."""
+"""Minimum interval between two frames of registrations. Registrations that arrive within it share a
+frame, since each frame goes over every link. The delay is short enough for draining upstreams,
+which keep serving for seconds."""
 
 UPSTREAM_EXPIRY_SECONDS: Final = 12.0
 """An upstream is dropped if no control box has received a heartbeat for this long."""
