--- a/src/ledgeladder/daemons/control/hub.py
+++ b/src/ledgeladder/daemons/control/hub.py
@@ -124,8 +124,8 @@
 def build_quarantine_controller(hub: Hub, node: ControlNode) -> QuarantineController:
     """Build the quarantine controller with the links of a control box.
 
-    It counts each reported crash as confirmed: entry boxes report every crash under an instance
-    name of its own, and only if nothing listened on the upstream's address any more.
+    It counts each reported crash as confirmed: entry boxes report every crash under a unique
+    instance name, and only if the upstream's address refused connections.
     """
     return QuarantineController(
         node=node,
