--- a/src/ledgeladder/daemons/entry/context.py
+++ b/src/ledgeladder/daemons/entry/context.py
@@ -115,7 +115,7 @@
     """Fences of orders that were forwarded to engines."""
 
     in_progress: int = 0
-    """Number of requests that were not completely answered yet."""
+    """Number of requests that have not been answered completely."""
 
 
 def rate_limiter_of(context: EntryContext) -> RateLimiter:
--- a/src/ledgeladder/daemons/entry/crashes.py
+++ b/src/ledgeladder/daemons/entry/crashes.py
@@ -21,7 +21,7 @@
 
 CHECK_TIMEOUT_SECONDS: Final = 0.25
 """Timeout for an upstream to accept or refuse a connection; far above the round-trip time within a
-region. An upstream that does neither has not certainly exited."""
+region. An upstream that does neither may still be running."""
 
 
 def refuse_quarantined(context: EntryContext, fingerprint: bytes) -> None:
