--- a/src/ledgeladder/daemons/content_judge.py
+++ b/src/ledgeladder/daemons/content_judge.py
@@ -1,7 +1,8 @@
 """Quarantines request contents that crash upstreams, on control boxes.
 
-Every control box merges the crash reports of entry boxes. The leader commits the quarantine of a
-content that is to blame. Both kinds of control processes use this module, each with its own links.
+Every control box merges the crash reports of entry boxes. The leader commits the quarantine of
+contents that are blamed for crashes. Both kinds of control processes use this module, each with its
+own links.
 """
 
 from __future__ import annotations
@@ -35,12 +36,12 @@
 logger = logging.getLogger(__name__)
 
 EVALUATION_INTERVAL_SECONDS: Final = 0.2
-"""Interval at which the leader checks for contents to blame. It is no longer than a crash and the
-retry on the next upstream take."""
+"""Interval at which the leader checks for contents to blame, at most the time from one crash to
+that of the retry on the next upstream."""
 
 MIN_SUSPECT_CRASHES: Final = 2
-"""Crashes under a content from which on it is reported to all entry boxes. Most contents with a
-single crash only shared the upstream with the cause."""
+"""Number of crashes at which a content is reported to all entry boxes as suspected. Most contents
+with a single crash only ran on the same upstream as the content that caused it."""
 
 
 class QuarantineController(msgspec.Struct, kw_only=True):
@@ -93,13 +94,13 @@
 def handle_content_served(
     controller: QuarantineController, served: ContentServed, *, to_peers: bool
 ) -> None:
-    """Clear the crashes under a content that was answered, and forward the message to peers."""
+    """Clear the crashes of a content that was answered, and forward the message to peers."""
     if clear_crashes(controller.crash_table, served.fingerprint) and to_peers:
         controller.broadcast_to_peers(served)
 
 
 async def run_quarantine_controller(controller: QuarantineController) -> None:
-    """Quarantine contents that are to blame while this box leads; runs until cancelled."""
+    """Quarantine contents blamed for crashes while this box leads; runs until cancelled."""
     while True:
         await anyio.sleep(EVALUATION_INTERVAL_SECONDS)
         if controller.crash_table.suspects and controller.node.replica.is_leader:
@@ -107,7 +108,7 @@
 
 
 async def quarantine_blamed(controller: QuarantineController) -> None:
-    """Quarantine contents that are to blame, and clear the crashes under quarantined ones."""
+    """Quarantine contents blamed for crashes, and clear the crashes of quarantined ones."""
     quarantined = seconds_left(controller.node.state.quarantine, wall_clock_ms())
     for fingerprint in quarantined.keys() & controller.crash_table.suspects.keys():
         clear_crashes(controller.crash_table, fingerprint)
