--- a/src/ledgeladder/daemons/launch.py
+++ b/src/ledgeladder/daemons/launch.py
@@ -1,4 +1,4 @@
-"""Starting a daemon from its settings file, without the libraries of the command line."""
+"""Starts a daemon from its settings file, without the libraries of the command line."""
 
 from __future__ import annotations
 
@@ -133,7 +133,7 @@
     "gateway": launch_gateway,
     "registry": launch_registry,
 }
-"""Daemons that need no command-line options if the environment names their settings file."""
+"""Daemons that start without command-line options if the environment names their settings file."""
 
 
 def end_with_problem(run: Callable[[], Any]) -> int:
--- a/src/ledgeladder/daemons/limit_keeper.py
+++ b/src/ledgeladder/daemons/limit_keeper.py
@@ -47,7 +47,7 @@
 logger = logging.getLogger(__name__)
 
 LOG_INTERVAL_SECONDS: Final = 1.0
-"""Interval at which the requests under each limit are logged."""
+"""Interval at which the number of requests sent under each limit is logged."""
 
 MIN_UPDATE_INTERVAL_SECONDS: Final = 0.1
 """Minimum interval between updates. An upstream may advertise another rate in each response."""
--- a/src/ledgeladder/daemons/peers.py
+++ b/src/ledgeladder/daemons/peers.py
@@ -1,4 +1,4 @@
-"""Links to control boxes, which are discovered from a few seeds.
+"""Maintains links to control boxes, which are discovered from a few seeds.
 
 Control boxes announce each other. `coordination/link_choice.py` chooses the links: a control box
 links to all others; an entry box links to a few, or to all while those few do not keep it up to
--- a/src/ledgeladder/daemons/plain_problems.py
+++ b/src/ledgeladder/daemons/plain_problems.py
@@ -14,8 +14,8 @@
 CODE_FIELD: Final = b"Ledgeladder-Code"
 
 DEFAULT_RETRY_AFTER_SECONDS: Final = 0.25
-"""Retry delay after a rejection without one of its own. Half of the time within which a first event
-is expected, so that a retry can still be in time."""
+"""Retry delay for a rejection that states none. It is half of the time within which a first event
+is expected, so a retry can still be in time."""
 
 NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 """Statuses that guarantee that the request has not run and will not run."""
--- a/src/ledgeladder/daemons/rate_lender.py
+++ b/src/ledgeladder/daemons/rate_lender.py
@@ -36,8 +36,8 @@
 that have just started."""
 
 MIN_UPDATE_INTERVAL_SECONDS: Final = 0.1
-"""Minimum interval between further updates. Each goes to every entry box, and an upstream may
-advertise another rate in each response."""
+"""Minimum interval between updates that are sent besides the periodic ones. Each goes to every
+entry box, and an upstream may advertise another rate in each response."""
 
 
 class RateGranter(msgspec.Struct, kw_only=True):
@@ -59,7 +59,7 @@
     """Token buckets by instance of the upstream."""
 
     last_broadcast_at: float = float("-inf")
-    """When an update was last broadcast outside that interval, on the monotonic clock."""
+    """When an update was last broadcast besides the periodic ones, on the monotonic clock."""
 
 
 def apply_limits(
--- a/src/ledgeladder/daemons/reloading.py
+++ b/src/ledgeladder/daemons/reloading.py
@@ -1,4 +1,4 @@
-"""Reloading of seeds when the settings file changes."""
+"""Reloads seeds when the settings file changes."""
 
 from __future__ import annotations
 
