--- a/src/ledgeladder/upstreams/engine.py
+++ b/src/ledgeladder/upstreams/engine.py
@@ -1,8 +1,8 @@
 """Client for model engines, over HTTP with newline-delimited JSON.
 
 The entry sends one request with the whole route to the head of the route. The stages forward
-activations among themselves, and the head streams the tokens back. The protocol of engines is known
-to this module only.
+activations among themselves, and the head streams the tokens back. No other module depends on the
+protocol of engines.
 """
 
 from __future__ import annotations
--- a/src/ledgeladder/upstreams/fields.py
+++ b/src/ledgeladder/upstreams/fields.py
@@ -17,7 +17,7 @@
 
 
 def raw_fields(response: httpx.Response) -> list[tuple[bytes, bytes]]:
-    """Return the header fields of an answer in order, with lower-case names and not joined."""
+    """Return the header fields of an answer in order, with lower-case names and repeated fields."""
     return [(name.lower(), value) for name, value in response.headers.raw]
 
 
