--- a/src/ledgeladder/links/endpoint.py
+++ b/src/ledgeladder/links/endpoint.py
@@ -1,4 +1,4 @@
-"""Accepting links, and opening them with reconnects."""
+"""Accepts links, and opens links that reconnect automatically."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 logger = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_SECONDS: Final = 0.25
-"""Timeout of the first attempt to connect; doubled with each failure, for long round trips. It is
+"""Timeout of the first attempt to connect; doubled after each failure, for long round trips. It is
 shorter than the kernel's SYN retransmission timeout of 1 s, which would delay links to boxes that
 are just starting."""
 
@@ -84,7 +84,7 @@
         address: `host:port` of the peer.
         identity: Identity of the connecting process.
         handler: Serves the link after each connect.
-        rng: Source of jitter, so that peers do not reconnect to a restarted process at once.
+        rng: Random source of jitter, which spreads the reconnections to a restarted process.
     """
     failures = 0
 
--- a/src/ledgeladder/links/messages.py
+++ b/src/ledgeladder/links/messages.py
@@ -180,7 +180,7 @@
 
 
 class UpstreamIndexPush(msgspec.Struct, frozen=True, kw_only=True, tag="known", array_like=True):
-    """Index of upstreams by which the sender encodes figures from now on."""
+    """Index of upstreams to which the sender's next ages and loads refer."""
 
     index: UpstreamIndex
 
@@ -248,12 +248,12 @@
 
 
 class OrderUpdate(msgspec.Struct, frozen=True, kw_only=True, tag="ordered", array_like=True):
-    """Announces layers that the leader ordered an engine to hold and that are not reported yet."""
+    """Announces layers that the leader ordered an engine to load."""
 
     instance: str
     holding: Holding
     load_seconds: float
-    """Predicted time to load the layers."""
+    """Predicted time to load the layers, in seconds."""
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True, tag="load", array_like=True):
--- a/src/ledgeladder/links/tcp.py
+++ b/src/ledgeladder/links/tcp.py
@@ -1,8 +1,7 @@
 """TCP connections and listeners by IP address, without name resolution.
 
 Library calls that accept host names resolve every address in a thread pool. All addresses of the
-system are IP addresses; skipping the resolver saves processor time and keeps daemons
-single-threaded.
+system are IP addresses; skipping the resolver saves CPU time and keeps daemons single-threaded.
 """
 
 from __future__ import annotations
@@ -23,8 +22,8 @@
 """Number of connections that `is_port_closed` tries, since a process may just be exiting."""
 
 CLOSE_TIMEOUT_SECONDS: Final = 0.01
-"""How long an exiting process may take to close all of its sockets. A check of a live upstream
-takes as long."""
+"""How long an exiting process may take to close all of its sockets. Checking a live upstream takes
+this whole time."""
 
 
 def split_address(address: str) -> tuple[str, int]:
