--- a/src/ledgeladder/http1/server.py
+++ b/src/ledgeladder/http1/server.py
@@ -43,7 +43,8 @@
 )
 """Errors that reading and writing raise once the connection is closed."""
 
-# By the status hint of h11 and of the checks below. Other hints mean a malformed request.
+# Result codes by the status hint of errors, from h11 or the checks below. Other hints mean a
+# malformed request.
 _RESULT_CODES: Final = {413: ResultCode.BODY_TOO_LARGE, 431: ResultCode.HEAD_TOO_LARGE}
 
 
@@ -199,7 +200,7 @@
         """Read the next request; None if the connection was closed or idle for too long.
 
         Raises:
-            h11.RemoteProtocolError: If the request is malformed or too long; hints at a status.
+            h11.RemoteProtocolError: If the request is malformed or too long, with a status hint.
             TimeoutError: If the request is not received in time.
         """
         head = await self._read_head()
