--- a/src/ledgeladder/coordination/membership/core.py
+++ b/src/ledgeladder/coordination/membership/core.py
@@ -30,7 +30,7 @@
 from .state import Membership, Probe, alive, own_update
 
 INDIRECT_PROBES: Final = 2
-"""Maximum number of boxes that are asked for an indirect probe."""
+"""Maximum number of boxes that receive a request for an indirect probe."""
 
 SEEDS_PER_JOIN: Final = 4
 """Maximum number of seeds contacted per call of `join`."""
--- a/src/ledgeladder/coordination/membership/gossip.py
+++ b/src/ledgeladder/coordination/membership/gossip.py
@@ -15,11 +15,11 @@
 REPORTS_PER_DATAGRAM: Final = 12
 
 TRANSMISSIONS_FACTOR: Final = 3.0
-"""Factor of the binary logarithm of the number of boxes in `transmissions`."""
+"""Transmissions of an update, as a multiple of the binary logarithm of the number of boxes."""
 
 
 def transmissions(membership: Membership) -> int:
-    """Return how often a new update or report is forwarded."""
+    """Return how many times a new update or report is forwarded."""
     return math.ceil(TRANSMISSIONS_FACTOR * math.log2(len(membership.members) + 2))
 
 
--- a/src/ledgeladder/coordination/raft/replica.py
+++ b/src/ledgeladder/coordination/raft/replica.py
@@ -26,7 +26,8 @@
     """Time between heartbeats of the leader."""
 
     election_timeout: float = 0.5
-    """Minimum time without a leader before a follower starts an election; at most twice this."""
+    """Minimum time without a leader before a follower starts an election; the maximum is twice
+    this."""
 
     lease_duration: float = 0.4
     """Time a lease lasts; shorter than `election_timeout` to allow for clock drift."""
@@ -51,7 +52,7 @@
     """True from the request for a snapshot until the next accepted reply."""
 
     snapshot_sent_at: float = 0.0
-    """When the snapshot was last requested from the driver."""
+    """When the snapshot was last requested from the driver, on the monotonic clock."""
 
 
 class Replica(msgspec.Struct, kw_only=True):
