--- a/src/ledgeladder/model/traffic.py
+++ b/src/ledgeladder/model/traffic.py
@@ -103,7 +103,7 @@
     """Name of the model."""
 
     layers: int
-    """Layers of the model."""
+    """Number of layers of the model."""
 
     layer_mb: float
     """Memory for the weights of one layer, in megabytes."""
--- a/src/ledgeladder/settings/__init__.py
+++ b/src/ledgeladder/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of the processes: models of the files and their loading."""
+"""Settings of the processes: models of the settings files, and functions that load them."""
 
 from __future__ import annotations
 
--- a/src/ledgeladder/settings/reference.py
+++ b/src/ledgeladder/settings/reference.py
@@ -65,8 +65,8 @@
 def _meanings(model: type[msgspec.Struct]) -> dict[str, str]:
     """Return the docstring below each field of a section.
 
-    They are parsed from the source here and not kept by the models, which would slow down the
-    start of every process.
+    They are parsed from the source. Keeping them in the models would slow down the start of every
+    process.
     """
     meanings = {}
     for base in reversed(model.__mro__):
