--- a/src/ledgeladder/daemons/registry/peer_links.py
+++ b/src/ledgeladder/daemons/registry/peer_links.py
@@ -212,7 +212,7 @@
         case ContentServed():
             handle_content_served(quarantine_controller_of(state), message, to_peers=not is_control)
         case LossReport():
-            _handle_lost_report(state, link, message.instance)
+            _handle_loss_report(state, link, message.instance)
         case VersionQuery():
             handle_version_query(state, link, message)
         case DocumentPull():
@@ -228,7 +228,7 @@
     return state.peer_indexes.get(id(link), UpstreamIndex())
 
 
-def _handle_lost_report(state: RegistryState, link: Link, instance: str) -> None:
+def _handle_loss_report(state: RegistryState, link: Link, instance: str) -> None:
     """Record that an entry box found an engine unreachable; broadcast the loss once confirmed."""
     known = state.table.known.get(instance)
     if known is None or link.peer is None:
