--- a/src/ledgeladder/daemons/control/hub.py
+++ b/src/ledgeladder/daemons/control/hub.py
@@ -168,17 +168,17 @@
 
 
 async def send_heads(hub: Hub, node: ControlNode) -> None:
-    """Send the newest version to followers, and reports of them to other control boxes.
+    """Send the newest version to followers, and their reported versions to other control boxes.
 
     Runs until cancelled.
     """
-    known, known_digest = None, b""
+    last_configuration, last_digest = None, b""
     while True:
         await anyio.sleep(HEAD_INTERVAL_SECONDS)
         configuration = node.state.configuration
-        if configuration is not known:
-            known, known_digest = configuration, digest(configuration)
-        head = VersionHead(version=configuration.version, digest=known_digest)
+        if configuration is not last_configuration:
+            last_configuration, last_digest = configuration, digest(configuration)
+        head = VersionHead(version=configuration.version, digest=last_digest)
         for link in hub.follower_links.values():
             link.post(head)
         report = InForceReport(boxes=tuple(hub.local_boxes.values()))
@@ -206,13 +206,15 @@
         await anyio.sleep(JOIN_INTERVAL_SECONDS)
 
 
-async def serve_accepted_link(hub: Hub, node: ControlNode, known: set[str], link: Link) -> None:
+async def serve_accepted_link(
+    hub: Hub, node: ControlNode, control_names: set[str], link: Link
+) -> None:
     """Serve a link that another process opened, until it closes.
 
     Args:
         hub: The links.
         node: The node.
-        known: Names of the cluster's control boxes.
+        control_names: Names of the cluster's control boxes.
         link: The link.
     """
     async with anyio.create_task_group() as tasks:
@@ -222,19 +224,19 @@
                 if isinstance(message, CommandRequest):
                     tasks.start_soon(_handle_command_request, node, link, message)
                 else:
-                    _handle_message(hub, node, known, link, message)
+                    _handle_message(hub, node, control_names, link, message)
         finally:
             _remove_link(hub, link)
 
 
 def _handle_message(
-    hub: Hub, node: ControlNode, known: set[str], link: Link, message: LinkMessage
+    hub: Hub, node: ControlNode, control_names: set[str], link: Link, message: LinkMessage
 ) -> None:
     from_control = link.peer is not None and link.peer.role is PeerRole.CONTROL
     match message:
         case LogMessage() if from_control:
             receive_log_message(node, message)
-        case JoinRequest() if from_control and box_of(message.member_id) in known:
+        case JoinRequest() if from_control and box_of(message.member_id) in control_names:
             if box_of(message.member_id) == link.peer_box:
                 node.record_applicant(message.member_id)
         case InForceReport() if from_control:
--- a/src/ledgeladder/daemons/control/main.py
+++ b/src/ledgeladder/daemons/control/main.py
@@ -131,12 +131,12 @@
     )
     own = next(peer for peer in settings.controls if peer.name == settings.box.name)
     others = [peer for peer in settings.controls if peer.name != settings.box.name]
-    known = {peer.name for peer in settings.controls}
+    control_names = {peer.name for peer in settings.controls}
     link_address = settings.control.listen_link_address or own.link_address
     operator_address = settings.control.listen_operator_address or own.operator_address
 
     async def accepted(link: Link) -> None:
-        await serve_accepted_link(hub, node, known, link)
+        await serve_accepted_link(hub, node, control_names, link)
 
     def link_child(peer: ControlPeer) -> Child:
         async def serve(link: Link) -> None:
