--- a/src/ledgeladder/daemons/entry/generation.py
+++ b/src/ledgeladder/daemons/entry/generation.py
@@ -161,7 +161,7 @@
     Other missing layers are waited for, because lost stages are replaced quickly.
 
     Raises:
-        ProblemError: If so, with the time until there is a route.
+        ProblemError: If the request is refused, with the time until there is a route.
     """
     seconds = _seconds_to_route(context, request)
     if seconds is None:
