--- a/src/ledgeladder/daemons/peers.py
+++ b/src/ledgeladder/daemons/peers.py
@@ -133,8 +133,8 @@
 
     Args:
         peers: The links.
-        addresses: IP addresses of control boxes. The own one and those beyond `MAX_PEERS` are
-            ignored, and all of them until `run_peers` starts.
+        addresses: IP addresses of control boxes. The address of this box and those beyond
+            `MAX_PEERS` are ignored. Until `run_peers` starts, all are ignored.
         domains: Failure domains of control boxes by IP address, where known.
     """
     peers.domains.update(domains or {})
@@ -190,8 +190,8 @@
 async def _maintain_link(peers: Peers, address: str) -> None:
     """Maintain the link to one control box until its scope is cancelled.
 
-    This happens once enough preferred links are established, or when the box was unreachable for
-    too long.
+    The scope is cancelled once enough preferred links are established, or when the box has been
+    unreachable for too long.
     """
 
     async def serve(link: Link) -> None:
