--- a/src/ledgeladder/reports/log_lines.py
+++ b/src/ledgeladder/reports/log_lines.py
@@ -111,8 +111,8 @@
         counts.incomplete += 1
         return None
     for key in ("lines_dropped", "lines_sampled_out"):
-        left_out = content.get(key, 0)
-        counts.dropped += left_out if isinstance(left_out, int) else 0
+        dropped = content.get(key, 0)
+        counts.dropped += dropped if isinstance(dropped, int) else 0
     return LogLine(at=at, box=box, message=message, fields=content)
 
 
--- a/src/ledgeladder/reports/log_report.py
+++ b/src/ledgeladder/reports/log_report.py
@@ -205,14 +205,14 @@
 
 
 def _format_counts(report: LogReport, counts: ReadCounts) -> list[str]:
-    left_out = {
+    skipped = {
         "not JSON or cut": counts.not_json,
         "without time, box or message": counts.incomplete,
         "too long": counts.too_long,
         "left out by the processes": counts.dropped,
         "outside of the spans shown": report.overflow,
     }
-    text = ", ".join(f"{count} {name}" for name, count in left_out.items() if count)
+    text = ", ".join(f"{count} {name}" for name, count in skipped.items() if count)
     lines = [f"{counts.lines} lines of {len(counts.newest_at)} boxes; {text or 'nothing left out'}"]
     lines += [
         f"clock of {box} stepped back {times} times" for box, times in counts.clock_jumps.items()
