--- a/src/ledgeladder/daemons/launch.py
+++ b/src/ledgeladder/daemons/launch.py
@@ -133,7 +133,7 @@
     "gateway": launch_gateway,
     "registry": launch_registry,
 }
-"""Daemons that start without command-line options if the environment names their settings file."""
+"""Launch functions by name, of daemons whose settings file may be given in the environment."""
 
 
 def end_with_problem(run: Callable[[], Any]) -> int:
