--- a/src/ledgeladder/daemons/control/node.py
+++ b/src/ledgeladder/daemons/control/node.py
@@ -292,14 +292,16 @@
 
 def _log_leader_change(node: ControlNode) -> None:
     """Log a change of the leader; an empty name means that none is known."""
-    known = (node.replica.term, node.replica.leader_id)
-    if known == node.logged_leader:
+    current = (node.replica.term, node.replica.leader_id)
+    if current == node.logged_leader:
         return
     before = node.logged_leader[1]
-    node.logged_leader = known
-    if known[1] == before == "":
+    node.logged_leader = current
+    if current[1] == before == "":
         return
-    logger.info("leader changed", extra={"term": known[0], "leader": known[1], "before": before})
+    logger.info(
+        "leader changed", extra={"term": current[0], "leader": current[1], "before": before}
+    )
 
 
 def _has_work(ready: Ready) -> bool:
