--- a/src/ledgeladder/daemons/entry/caller_models.py
+++ b/src/ledgeladder/daemons/entry/caller_models.py
@@ -8,6 +8,7 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 MAX_MODEL_LENGTH = 63
+"""Maximum length of the name of a pipeline, in characters."""
 
 
 class _CallerBody(BaseModel):
--- a/src/ledgeladder/daemons/entry/checks.py
+++ b/src/ledgeladder/daemons/entry/checks.py
@@ -207,7 +207,7 @@
         raise ProblemError(problem)
     try:
         if not ticket.admitted:
-            await _wait_for_turn(context, ticket)
+            await _wait_in_queue(context, ticket)
         record_duration(context.metrics.queue, now() - ticket.arrived_at)
         yield
     finally:
@@ -217,7 +217,7 @@
                 event.set()
 
 
-async def _wait_for_turn(context: EntryContext, ticket: Ticket) -> None:
+async def _wait_in_queue(context: EntryContext, ticket: Ticket) -> None:
     event = context.tickets[ticket] = anyio.Event()
     timeout = ticket.deadline - now() - context.admission.mean_seconds
     try:
