--- a/src/ledgeladder/cli/main.py
+++ b/src/ledgeladder/cli/main.py
@@ -250,13 +250,13 @@
         The exit code.
     """
     try:
-        words = FLAGS(list(argv))[1:]
+        arguments = FLAGS(list(argv))[1:]
     except flags.Error as error:
         return _usage(str(error))
-    if not words or words[0] not in COMMANDS:
-        return _usage(f"unknown command {words[0]}" if words else "")
+    if not arguments or arguments[0] not in COMMANDS:
+        return _usage(f"unknown command {arguments[0]}" if arguments else "")
     try:
-        return COMMANDS[words[0]](list(words[1:]))
+        return COMMANDS[arguments[0]](list(arguments[1:]))
     except BrokenPipeError:
         # The reader of the output has closed the pipe.
         return EXIT_OK
