--- a/src/ledgeladder/platform/configuration.py
+++ b/src/ledgeladder/platform/configuration.py
@@ -21,13 +21,9 @@
 )
 
 BYTES_PER_MEGABIT: Final = 125_000.0
-"""Bytes per megabit."""
 
 MILLISECONDS: Final = 1000.0
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-"""A positive number."""
-
-# The classes below use the field names of the platform; `_convert` maps them to the internal model.
 
 REQUEST_KINDS: Final = {
     "safe": RequestKind.REPEATABLE,
@@ -36,6 +32,7 @@
 }
 
 
+# The classes below use the field names of the platform; `_convert` maps them to the internal model.
 class _Split(msgspec.Struct):
     service: str
     weight: Annotated[float, msgspec.Meta(ge=0)]
@@ -71,7 +68,7 @@
 
 class _Delay(msgspec.Struct):
     source: str = msgspec.field(name="from")
-    # The platform uses the same key for the end of a layer range.
+    # The other failure domain; the platform also uses this key for the end of a layer range.
     target: str = msgspec.field(name="targetVersion")
     delay_ms: float = 0.0
 
