--- a/src/ledgeladder/daemons/registry/upstream_ends.py
+++ b/src/ledgeladder/daemons/registry/upstream_ends.py
@@ -29,9 +29,9 @@
 def has_exited(state: RegistryState, instance: str) -> bool:
     """Return whether the exit of an upstream instance is confirmed.
 
-    It is if a newer instance has registered in its place, if its heartbeats are missing, or if
-    several entry boxes found it unreachable since the last heartbeat. A single entry box does not
-    suffice: a partition may refuse its connections while the upstream still sends heartbeats.
+    It is confirmed if a newer instance has registered in its place, if its heartbeats are missing,
+    or if several entry boxes found it unreachable since the last heartbeat. A single entry box does
+    not suffice: a partition may refuse its connections while the upstream still sends heartbeats.
     """
     known = state.table.known.get(instance)
     if known is None:
