--- a/src/ledgeladder/platform/registrations.py
+++ b/src/ledgeladder/platform/registrations.py
@@ -35,14 +35,14 @@
     service: Annotated[str, msgspec.Meta(min_length=1)]
     address: str
     zone: str
-    # Software version. Not used, but required: a heartbeat without it has another origin.
+    # Software version. Not used, but required: a body without it is not a heartbeat.
     version: str
     state: str
     sequence: Annotated[int, msgspec.Meta(ge=0)]
     slots: int
     # Unix time of the start in milliseconds; 0 for upstreams that get a new id with each start.
     born: Annotated[int, msgspec.Meta(ge=0)] = 0
-    # Not used, but checked: a value of another type shows that the heartbeat has another origin.
+    # Not used, but checked: a body with a value of another type is not a heartbeat.
     coldRemainingMs: float = 0.0  # noqa: N815
     stage: str = ""
     models: list[dict[str, object]] = []
