--- a/src/ledgeladder/daemons/entry/generation.py
+++ b/src/ledgeladder/daemons/entry/generation.py
@@ -12,7 +12,7 @@
 from ...model import Execution, Problem, ProblemError, ResultCode, Route
 from ...routing.chain import choose_route, eligible_engines, replace_stages
 from ...routing.rate_grants import any_limited, record_demand
-from ...routing.retry_budget import acquire_retry, record_first_try
+from ...routing.retry_budget import acquire_retry, record_first_attempt
 from ...routing.session import Session, begin_attempt
 from ...routing.upstream_table import (
     record_backoff,
@@ -61,7 +61,7 @@
         max_tokens=request.max_tokens,
     )
     progress = Progress(last_token_at=request.arrived_at)
-    record_first_try(context.budget)
+    record_first_attempt(context.budget)
     try:
         with anyio.fail_after(max(0.0, request.deadline - now())):
             await _run_attempts(context, request, session, progress, emit)
--- a/src/ledgeladder/daemons/entry/service_calls.py
+++ b/src/ledgeladder/daemons/entry/service_calls.py
@@ -20,7 +20,7 @@
 )
 from ...model import Execution, Problem, ProblemError, ResultCode
 from ...routing.rate_grants import acquire_grants, any_limited, record_demand
-from ...routing.retry_budget import acquire_retry, record_first_try
+from ...routing.retry_budget import acquire_retry, record_first_attempt
 from ...routing.upstream_table import (
     UpstreamView,
     is_usable,
@@ -84,7 +84,7 @@
     Raises:
         ProblemError: If there is no answer. It states whether the call was run.
     """
-    record_first_try(context.budget)
+    record_first_attempt(context.budget)
     if repeatable:
         refuse_quarantined(context, permit.fingerprint)
         return await _run_repeatable(context, permit, call)
--- a/src/ledgeladder/daemons/gateway/plain.py
+++ b/src/ledgeladder/daemons/gateway/plain.py
@@ -25,7 +25,7 @@
 )
 from ...routing.pace import record_gap, stall_timeout
 from ...routing.rate_grants import any_limited
-from ...routing.repeat_window import record_first_try, release_retry
+from ...routing.repeat_window import record_first_attempt, release_retry
 from ...routing.service_choice import choose_service
 from .backpressure import request_grants
 from .borrowing import acquire_retry
@@ -112,7 +112,7 @@
     """
     attempts = _Attempts()
     budget = retry_budget(state, permit.pool.name)
-    record_first_try(budget, anyio.current_time())
+    record_first_attempt(budget, anyio.current_time())
     with anyio.move_on_after(max(0.0, permit.deadline - anyio.current_time())):
         while True:
             upstream = _next_upstream(state, permit, attempts)
--- a/src/ledgeladder/daemons/gateway/stream.py
+++ b/src/ledgeladder/daemons/gateway/stream.py
@@ -11,7 +11,7 @@
 from ...platform.exchange import caller_headers
 from ...routing.event_stream import EventOrder
 from ...routing.pace import record_gap
-from ...routing.repeat_window import record_first_try, release_retry
+from ...routing.repeat_window import record_first_attempt, release_retry
 from ...routing.stream_patience import stream_timeouts
 from .borrowing import acquire_retry
 from .checks import Permit, refusal
@@ -68,7 +68,7 @@
         trace=trace,
     )
     budget = retry_budget(state, permit.pool.name)
-    record_first_try(budget, anyio.current_time())
+    record_first_attempt(budget, anyio.current_time())
     with anyio.move_on_after(max(0.0, permit.deadline - anyio.current_time())) as scope:
         while not (reason := _no_attempt_reason(permit, session)):
             crashes = count_crashes(state, permit, request, trace)
--- a/src/ledgeladder/routing/repeat_window.py
+++ b/src/ledgeladder/routing/repeat_window.py
@@ -35,8 +35,8 @@
     seconds: float
     """Length of the window, in seconds."""
 
-    first_tries: deque[float] = msgspec.field(default_factory=deque)
-    """Times of first tries, on the monotonic clock, oldest first."""
+    first_attempts: deque[float] = msgspec.field(default_factory=deque)
+    """Times of first attempts, on the monotonic clock, oldest first."""
 
     retries: deque[float] = msgspec.field(default_factory=deque)
     """Times of retries from the box's own share, on the monotonic clock, oldest first."""
@@ -45,9 +45,9 @@
     """Expiry of each granted retry, on the monotonic clock, soonest first."""
 
 
-def record_first_try(window: RetryWindow, now: float) -> None:
-    """Record the first try of a request."""
-    window.first_tries.append(now)
+def record_first_attempt(window: RetryWindow, now: float) -> None:
+    """Record the first attempt of a request."""
+    window.first_attempts.append(now)
     _expire(window, now)
 
 
@@ -64,7 +64,7 @@
     """
     _expire(window, now)
     base = window.reserve * BASE_QUOTA_SHARE / max(entries, MIN_ENTRIES)
-    allowed = (window.ratio * len(window.first_tries) + base) * USABLE_SHARE
+    allowed = (window.ratio * len(window.first_attempts) + base) * USABLE_SHARE
     if len(window.retries) + 1 <= allowed:
         window.retries.append(now)
         return Retry(quota_until=None)
@@ -79,7 +79,7 @@
 def release_retry(window: RetryWindow, retry: Retry) -> None:
     """Return a retry that never reached an upstream.
 
-    After a loss, many tries end in refused connections. Counting them would use up the budget when
+    After a loss, many attempts end in refused connections. Counting them would use up the budget when
     it is needed most.
     """
     if retry.quota_until is not None:
@@ -89,7 +89,7 @@
 
 
 def _expire(window: RetryWindow, now: float) -> None:
-    for times in (window.first_tries, window.retries):
+    for times in (window.first_attempts, window.retries):
         while times and times[0] <= now - window.seconds:
             times.popleft()
     while window.quota and window.quota[0] <= now:
--- a/src/ledgeladder/routing/retry_budget.py
+++ b/src/ledgeladder/routing/retry_budget.py
@@ -1,4 +1,4 @@
-"""Limits retries to a share of first tries, to prevent retry storms."""
+"""Limits retries to a share of first attempts, to prevent retry storms."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     """Token bucket of retries."""
 
     share: float = 0.1
-    """Retries allowed per first try."""
+    """Retries allowed per first attempt."""
 
     reserve: float = 10.0
     """Maximum balance."""
@@ -18,8 +18,8 @@
     """Retries available now."""
 
 
-def record_first_try(budget: RetryBudget) -> None:
-    """Record a first try, which adds `share` to the balance."""
+def record_first_attempt(budget: RetryBudget) -> None:
+    """Record a first attempt, which adds `share` to the balance."""
     budget.balance = min(budget.balance + budget.share, budget.reserve)
 
 
--- a/tests/routing/test_forwarding.py
+++ b/tests/routing/test_forwarding.py
@@ -26,7 +26,7 @@
     record_loss,
     record_success,
 )
-from ledgeladder.routing.repeat_window import RetryWindow, acquire_local_retry, record_first_try
+from ledgeladder.routing.repeat_window import RetryWindow, acquire_local_retry, record_first_attempt
 from ledgeladder.routing.route_index import build_index, choose_pool, find_route
 
 
@@ -85,18 +85,18 @@
     windows = [RetryWindow(ratio=0.2, reserve=200.0, seconds=10.0) for _ in range(entries)]
     rng = random.Random(2)
     retries_sent: list[float] = []
-    first_tries: list[float] = []
+    first_attempts: list[float] = []
     for step in range(20_000):
         now = step * 0.002
         window = rng.choice(windows)
         if rng.random() < 0.1:
-            record_first_try(window, now)
-            first_tries.append(now)
+            record_first_attempt(window, now)
+            first_attempts.append(now)
         if acquire_local_retry(window, now, entries):
             retries_sent.append(now)
     for end in range(10, 40):
         retries = sum(end - 10 < at <= end for at in retries_sent)
-        requests = sum(end - 10 < at <= end for at in first_tries)
+        requests = sum(end - 10 < at <= end for at in first_attempts)
         assert retries <= 0.2 * requests + 200
 
 
--- a/tests/routing/test_repeat_loans.py
+++ b/tests/routing/test_repeat_loans.py
@@ -54,7 +54,7 @@
     rng = random.Random(3)
     boxes, ledgers = windows(ratio=0.2), [ledger() for _ in range(VOTERS)]
     for box in boxes:
-        box.first_tries.extend([0.0] * 13)
+        box.first_attempts.extend([0.0] * 13)
     needs = [min(13, 2 + rng.randrange(7)) for _ in range(20)]
     assert sum(needs) >= 80
     sent = [
@@ -64,7 +64,7 @@
     assert sent == needs
     even = windows(ratio=0.2)
     for box in even:
-        box.first_tries.extend([0.0] * 13)
+        box.first_attempts.extend([0.0] * 13)
     own = [
         sum(acquire_local_retry(box, 1.0, BOXES) is not None for _ in range(need))
         for box, need in zip(even, needs, strict=False)
--- a/tests/routing/test_repeat_window.py
+++ b/tests/routing/test_repeat_window.py
@@ -8,7 +8,7 @@
     Retry,
     RetryWindow,
     acquire_local_retry,
-    record_first_try,
+    record_first_attempt,
     release_retry,
 )
 
@@ -31,7 +31,7 @@
 def test_box_uses_its_base_quota_and_the_share_of_its_requests() -> None:
     budget = window()
     for _ in range(20):
-        record_first_try(budget, 0.0)
+        record_first_attempt(budget, 0.0)
     assert count_retries(budget, 1.0) == int((20 * 0.2 + BASE_QUOTA) * USABLE_SHARE)
     assert count_retries(budget, 9.0) == 0
     assert count_retries(budget, 11.1) == int(BASE_QUOTA * USABLE_SHARE)
