--- a/src/ledgeladder/coordination/voters.py
+++ b/src/ledgeladder/coordination/voters.py
@@ -9,8 +9,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
 
-LEARNER_CONTACT_SECONDS: Final = 1.0
-"""Maximum time since the last answer of a learner that is promoted: several heartbeats."""
+LEARNER_TIMEOUT_SECONDS: Final = 1.0
+"""Inactivity after which a learner is not promoted; several heartbeat intervals."""
 
 VOTER_TIMEOUT_SECONDS: Final = 2.0
 """Inactivity after which a voter is replaced by a learner with the whole log. This exceeds the time
@@ -82,6 +82,6 @@
 
 def _caught_up(replica: raft.Replica, learner: str, now: float) -> bool:
     progress = replica.progress.get(learner)
-    if progress is None or progress.last_seen_at < now - LEARNER_CONTACT_SECONDS:
+    if progress is None or progress.last_seen_at < now - LEARNER_TIMEOUT_SECONDS:
         return False
     return progress.match_index >= replica.commit_index > 0
--- a/src/ledgeladder/daemons/control/members.py
+++ b/src/ledgeladder/daemons/control/members.py
@@ -10,8 +10,8 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-LEARNER_SEEN_SECONDS = 1.0
-"""A learner is promoted only if it replied within this time."""
+LEARNER_TIMEOUT_SECONDS = 1.0
+"""Inactivity after which a learner is not promoted."""
 
 
 def next_members(
@@ -49,6 +49,6 @@
 
 def _caught_up(replica: raft.Replica, learner: str, now: float) -> bool:
     progress = replica.progress.get(learner)
-    if progress is None or progress.last_seen_at < now - LEARNER_SEEN_SECONDS:
+    if progress is None or progress.last_seen_at < now - LEARNER_TIMEOUT_SECONDS:
         return False
     return progress.match_index >= replica.commit_index > 0
