--- a/src/ledgeladder/routing/admission.py
+++ b/src/ledgeladder/routing/admission.py
@@ -166,7 +166,7 @@
 
 
 def finish(admission: Admission, ticket: Ticket, now: float) -> list[Ticket]:
-    """Record that a request ended, or that a waiting one was canceled.
+    """Record that a request ended, or that a waiting one was cancelled.
 
     Args:
         admission: The state.
--- a/src/ledgeladder/routing/group_plan.py
+++ b/src/ledgeladder/routing/group_plan.py
@@ -25,7 +25,7 @@
 """Ratio between successive numbers of copies that are tried."""
 
 MIN_REQUESTS: Final = 1.0
-"""Requests of the usual size that an engine must have capacity for beside its layers."""
+"""Requests of the usual size that an engine must have capacity for besides its layers."""
 
 
 def max_layers(profile: EngineProfile, card: str) -> int:
--- a/src/ledgeladder/routing/layer_coverage.py
+++ b/src/ledgeladder/routing/layer_coverage.py
@@ -37,7 +37,7 @@
 
 
 def kv_capacity(profile: EngineProfile, card: str, layers: int) -> float:
-    """Return the KV cache capacity that an engine has beside its layers, in tokens x layers.
+    """Return the KV cache capacity that an engine has besides its layers, in tokens x layers.
 
     Args:
         profile: Performance figures of the engines.
@@ -60,7 +60,7 @@
 
 
 def request_capacity(profile: EngineProfile, card: str, layers: int) -> float:
-    """Return how many requests of the usual size an engine can run beside its layers.
+    """Return how many requests of the usual size an engine can run besides its layers.
 
     Limited by the slots: KV cache beyond them is better used for more layers.
 
@@ -83,7 +83,7 @@
     """Performance figures of the engines."""
 
     by_speed: bool = True
-    """Whether capacities are divided by the step factor of the card, so that slow cards gather at
+    """Whether capacities are divided by the step factor of the card, so that slow cards get the
     layers that fast ones do not hold."""
 
     all_domains: list[float] = msgspec.field(default_factory=list)
@@ -119,7 +119,7 @@
         """Return the range with the greatest need for another holder.
 
         Args:
-            engine: The engine that is to hold it.
+            engine: The engine that gets the range.
             count: Length of the range, in layers; at least one, and at most all.
 
         Returns:
--- a/src/ledgeladder/routing/link_load.py
+++ b/src/ledgeladder/routing/link_load.py
@@ -22,8 +22,8 @@
 """Two failure domains, in alphabetical order."""
 
 DECAY_SECONDS: Final = 1.0
-"""Time constant of the exponential decay of recorded transfers. Shorter than a typical stream, so
-that a loss shows soon, but long enough to average over several streams."""
+"""Time constant of the exponential decay of recorded transfers. Shorter than a typical
+stream, to reflect a loss quickly, but long enough to average over several streams."""
 
 NEW_REQUEST_LIMIT: Final = 0.7
 """Link utilization up to which new requests may use it; queueing delay grows steeply beyond."""
--- a/src/ledgeladder/routing/load_sharing.py
+++ b/src/ledgeladder/routing/load_sharing.py
@@ -22,7 +22,7 @@
 
 
 MAX_REPORT_SECONDS: Final = 1.0
-"""Maximum time between two reports; unchanged loads are repeated only this often."""
+"""Maximum time between two reports; unchanged loads are sent only this often."""
 
 
 def is_report_due(changed: bool, seconds: float) -> bool:
--- a/src/ledgeladder/routing/load_time.py
+++ b/src/ledgeladder/routing/load_time.py
@@ -1,6 +1,6 @@
 """Prediction of how long an engine takes to load layers.
 
-A module of its own, since gateways give callers such times and use nothing else of placement.
+Separate from placement, since gateways use only this part of it, for retry delays.
 """
 
 from __future__ import annotations
--- a/src/ledgeladder/routing/path_costs.py
+++ b/src/ledgeladder/routing/path_costs.py
@@ -73,7 +73,7 @@
 
     stalled_after: float = math.inf
     """Time without progress after which an engine with requests of this box is likely lost, in
-    seconds. Finite only after a loss."""
+    seconds. Infinity unless engines were lost."""
 
     previous_instances: Collection[str] = ()
     """Instances of engines on earlier paths of the request, any of which may have stalled it."""
--- a/src/ledgeladder/routing/paths.py
+++ b/src/ledgeladder/routing/paths.py
@@ -43,7 +43,7 @@
 """Reason: the engine has no room for even one layer of the request."""
 
 BACKING_OFF: Final = "resting"
-"""Reason: the engine asked this box to back off."""
+"""Reason: the engine requested back-off from this box."""
 
 RATE_LIMITED: Final = "limited"
 """Reason: the engine limits requests per second and this box has no grant left."""
--- a/src/ledgeladder/routing/placed_engine.py
+++ b/src/ledgeladder/routing/placed_engine.py
@@ -1,4 +1,4 @@
-"""The view of an engine that placement works with."""
+"""An engine as placement sees it."""
 
 from __future__ import annotations
 
--- a/src/ledgeladder/routing/placement.py
+++ b/src/ledgeladder/routing/placement.py
@@ -90,7 +90,7 @@
 def group_engines(
     profile: EngineProfile, engines: Sequence[PlacedEngine]
 ) -> list[list[PlacedEngine]]:
-    """Divide engines into groups that are each to hold the whole model.
+    """Divide engines into groups, each of which is assigned the whole model.
 
     A failure domain that can hold the model is a group by itself: it serves without inter-domain
     hops and survives a network partition. All others form one more group. If this leaves the
--- a/src/ledgeladder/routing/repeat_window.py
+++ b/src/ledgeladder/routing/repeat_window.py
@@ -79,8 +79,8 @@
 def release_retry(window: RetryWindow, retry: Retry) -> None:
     """Return a retry that never reached an upstream.
 
-    After a loss, many attempts end in refused connections. Counting them would use up the budget when
-    it is needed most.
+    After a loss, many attempts end in refused connections. Counting them would use up the budget
+    when it is needed most.
     """
     if retry.quota_until is not None:
         window.quota.appendleft(retry.quota_until)
--- a/src/ledgeladder/routing/service_choice.py
+++ b/src/ledgeladder/routing/service_choice.py
@@ -16,13 +16,13 @@
     from .forwarding_table import ForwardedUpstream
 
 REMOTE_DOMAIN_PENALTY: Final = 0.15
-"""Pressure added for an upstream in another failure domain, in requests per slot."""
+"""Utilization added for an upstream in another failure domain, in requests per slot."""
 
 JITTER: Final = 0.05
 """Largest random part of the weight, so that boxes with the same view choose differently."""
 
 INACTIVE_PENALTY: Final = 2.0
-"""Pressure added for an inactive upstream, in requests per slot."""
+"""Utilization added for an inactive upstream, in requests per slot."""
 
 
 def choose_service(
@@ -37,8 +37,8 @@
     """Choose the upstream for the next attempt of a request.
 
     Upstreams that recently failed or were full are a last resort, since this box only infers that
-    they cannot serve. Draining, backing-off and rate-limited upstreams are never used, since they
-    said so themselves; nor are those likely to ask for back-off again.
+    they cannot serve. Draining, backing-off and rate-limited upstreams are never used, since that
+    state is reported and not inferred; nor are those likely to request back-off again.
 
     Args:
         pool: Upstreams of the pool.
--- a/src/ledgeladder/routing/stream_patience.py
+++ b/src/ledgeladder/routing/stream_patience.py
@@ -48,19 +48,19 @@
     """Engines are probed if no response head has arrived."""
 
     first_timeout: float
-    """An attempt without a response head is given up although its engines answer."""
+    """An attempt without a response head is aborted although its engines answer probes."""
 
     gap_probe: float
     """Engines are probed if no event follows; the stream's own pace may allow a longer gap."""
 
     slowdown_query: float
-    """Engines that answer are queried for their slowdown."""
+    """Engines that answer probes are queried for their slowdown."""
 
     link_avoidance: float
     """Links between failure domains on the path are avoided."""
 
     gap_timeout: float
-    """A started attempt is given up although its engines answer."""
+    """A started attempt is aborted although its engines answer probes."""
 
 
 def stream_timeouts(
--- a/src/ledgeladder/routing/upstream_table.py
+++ b/src/ledgeladder/routing/upstream_table.py
@@ -20,6 +20,7 @@
 """How long a service is suspected after a failure; doubles with each consecutive failure."""
 
 MAX_SUSPECT_SECONDS: Final = 8.0
+"""Maximum time for which a service is suspected."""
 
 
 class UpstreamView(msgspec.Struct, kw_only=True):
@@ -35,7 +36,7 @@
     """Requests of all boxes in progress on it, as it last reported."""
 
     listed_draining: bool = False
-    """True if the platform's list says that it is draining."""
+    """True if the platform lists it as draining."""
 
     reported_draining: bool = False
     """True if it reported that it is draining."""
--- a/src/ledgeladder/routing/upstream_wishes.py
+++ b/src/ledgeladder/routing/upstream_wishes.py
@@ -20,7 +20,7 @@
 
 
 MAX_REQUESTS_SHARE: Final = 0.6
-"""Cap for an upstream that was full, as a part of the requests it had when it asked for back-off.
+"""Cap for an upstream that was full, as a part of the requests it had when it requested back-off.
 
 The cap is never below its slots. The margin absorbs requests that other boxes send concurrently.
 """
@@ -33,13 +33,13 @@
     """Back-pressure of one instance of an upstream towards this box."""
 
     backoff_until: float = float("-inf")
-    """End of the back-off it asked for, on the monotonic clock."""
+    """End of the back-off it requested, on the monotonic clock."""
 
     requested_at: float = float("-inf")
-    """When it last asked for back-off, on the monotonic clock."""
+    """When it last requested back-off, on the monotonic clock."""
 
     draining: bool = False
-    """True once an answer said that it is draining."""
+    """True once an answer reported that it is draining."""
 
     max_requests: float = float("inf")
     """Maximum number of requests of all boxes on it, set when it was full."""
@@ -89,7 +89,7 @@
 def cap_requests(
     backpressure: Backpressure, estimated: float, slots: int, seconds: float, now: float
 ) -> None:
-    """Cap the requests to an upstream that asked for back-off because it was full.
+    """Cap the requests to an upstream that requested back-off because it was full.
 
     Without a cap, the whole load would return at the end of the back-off and overload it again.
 
--- a/src/ledgeladder/routing/wait_queue.py
+++ b/src/ledgeladder/routing/wait_queue.py
@@ -122,7 +122,7 @@
 
 
 def remove_request(queue: WaitQueue, request: WaitingRequest) -> None:
-    """Remove a request that was released, refused or canceled; further calls do nothing."""
+    """Remove a request that was released, refused or cancelled; further calls do nothing."""
     if queue.waiting.pop(request.ticket, None) is not None:
         queue.queued_bytes -= request.size
 
