--- a/src/ledgeladder/coordination/content_watch.py
+++ b/src/ledgeladder/coordination/content_watch.py
@@ -1,6 +1,6 @@
-"""Fingerprints of request content as one entry box tracks them: crashes, suspects and quarantine.
+"""Tracks request content at one entry box by fingerprint: crashes, suspects and quarantine.
 
-Every attempt of a caller carries a new id, so retried requests are matched by content instead.
+Every attempt of a caller carries a new id, so retries by the caller are matched by content instead.
 """
 
 from __future__ import annotations
--- a/src/ledgeladder/coordination/engine_orders.py
+++ b/src/ledgeladder/coordination/engine_orders.py
@@ -95,7 +95,7 @@
     """The newest order to one instance of an engine."""
 
     holding: Holding
-    """Layers that the engine is to hold. The leader repeats the same layers for as long as the
+    """Layers assigned to the engine. The leader repeats the same layers for as long as the
     order is open, so an order that is carried out late does no harm."""
 
     first_sent_at: float
@@ -119,7 +119,7 @@
 
 
 class OrderLedger(msgspec.Struct, kw_only=True):
-    """Open orders by engine instance: the own ones while this box leads, else the leader's."""
+    """Open orders by engine instance: its own while this box leads, else those of the leader."""
 
     sent: dict[str, SentOrder] = msgspec.field(default_factory=dict)
     """Newest order to each engine that has not reported the layers yet. Empty while this box does
@@ -143,7 +143,7 @@
     Args:
         ledger: The orders of this box.
         instance: Instance of the engine.
-        holding: Layers that it is to hold.
+        holding: Layers assigned to it.
         load_seconds: Predicted time of the load, in seconds.
         now: Monotonic time.
     """
@@ -157,7 +157,7 @@
 
 
 def step_down(ledger: OrderLedger, now: float) -> None:
-    """Drop the own orders, and expired ones of the leader, while another box leads."""
+    """Drop the orders of this box, and expired ones of the leader, while another box leads."""
     ledger.sent.clear()
     ledger.reported = {
         instance: order
@@ -191,7 +191,7 @@
     Args:
         ledger: The orders.
         instance: Instance of the engine.
-        holding: Layers that it is to hold.
+        holding: Layers assigned to it.
         now: Monotonic time.
         load_seconds: Predicted time of the load, in seconds.
     """
--- a/src/ledgeladder/coordination/freshness.py
+++ b/src/ledgeladder/coordination/freshness.py
@@ -24,7 +24,7 @@
     """Newest version known to be committed."""
 
     as_of: float = float("-inf")
-    """Own monotonic time at which no newer version was committed."""
+    """Local monotonic time at which no newer version was committed."""
 
     sent_at: dict[int, float] = msgspec.field(default_factory=dict)
     """When each open query was sent, by its number."""
--- a/src/ledgeladder/coordination/membership/core.py
+++ b/src/ledgeladder/coordination/membership/core.py
@@ -48,7 +48,7 @@
 def join(membership: Membership) -> list[Datagram]:
     """Request the membership state of a few seeds; each call selects the next ones.
 
-    Asking all seeds would make every box send a digest to every other box when many boxes start
+    Contacting all seeds would make every box send a digest to every other box when many boxes start
     together.
 
     Args:
--- a/src/ledgeladder/coordination/membership/gossip.py
+++ b/src/ledgeladder/coordination/membership/gossip.py
@@ -12,7 +12,10 @@
 from .state import Membership, MemberView, own_update
 
 MEMBERS_PER_DATAGRAM: Final = 6
+"""Maximum number of member updates in one datagram."""
+
 REPORTS_PER_DATAGRAM: Final = 12
+"""Maximum number of upstream reports in one datagram."""
 
 TRANSMISSIONS_FACTOR: Final = 3.0
 """Transmissions of an update, as a multiple of the binary logarithm of the number of boxes."""
--- a/src/ledgeladder/coordination/orders.py
+++ b/src/ledgeladder/coordination/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: the model version and layers that each is to hold, one change at a time.
+"""Orders that assign a model version and layers to engines, one change at a time.
 
 An order is committed in the log first. Its index is the lower half of its fence, and the term of
 the leader that sends it is the upper half; an engine that checks fences refuses a lower one. This
@@ -20,7 +20,7 @@
 
 
 class Assignment(msgspec.Struct, frozen=True, kw_only=True):
-    """The model version and layers that an engine is to hold."""
+    """The model version and layers assigned to an engine."""
 
     model: str
     """Model."""
@@ -36,7 +36,7 @@
     """The newest order to one engine."""
 
     assignment: Assignment
-    """What the engine is to hold."""
+    """Model version and layers that the order assigns."""
 
     index: int
     """Number of the order, the lower half of its fence."""
--- a/src/ledgeladder/coordination/rate_lending.py
+++ b/src/ledgeladder/coordination/rate_lending.py
@@ -1,7 +1,7 @@
 """Grants of requests to boxes, within the rate that an upstream advertises for all of them.
 
 Dividing a low rate evenly over many boxes would leave most of it unused, since only some of them
-have callers. Requests are therefore granted to the boxes that ask.
+have callers. Requests are therefore granted to the boxes that request them.
 
 Each voter of the replicated log grants an equal part of the rate from a token bucket of its own,
 without coordination with the others. A voter starts with an empty bucket. In any interval all
@@ -44,7 +44,7 @@
     """When tokens were last added, on the monotonic clock."""
 
     requesters: dict[str, float] = msgspec.field(default_factory=dict)
-    """When each box last asked, on the monotonic clock."""
+    """When each box last requested grants, on the monotonic clock."""
 
 
 def grant_requests(ledger: RateLedger, wanted: int, parts: int, now: float) -> int:
@@ -52,7 +52,7 @@
 
     Args:
         ledger: The bucket.
-        wanted: Requests that the box asks for.
+        wanted: Number of requests for which the box needs grants.
         parts: Number of parts into which the rate is divided; at least the number of voters.
         now: Monotonic time, at which the caller is a voter.
 
@@ -84,7 +84,7 @@
 
 
 def record_requester(ledger: RateLedger, box: str, now: float) -> None:
-    """Record that a box asks for requests, and drop boxes that no longer do."""
+    """Record that a box requests grants, and drop boxes that no longer do."""
     ledger.requesters[box] = now
     for name in [
         name for name, at in ledger.requesters.items() if now - at > REQUESTER_TTL_SECONDS
@@ -93,5 +93,5 @@
 
 
 def mean_wait(ledger: RateLedger, now: float) -> float:
-    """Return the mean time that a requesting box waits for a request, in seconds."""
+    """Return the mean time that a requesting box waits for a grant, in seconds."""
     return max(1, len(ledger.requesters)) * mean_interval(ledger.limit, now)
--- a/src/ledgeladder/coordination/rate_limit.py
+++ b/src/ledgeladder/coordination/rate_limit.py
@@ -128,7 +128,7 @@
 
 
 class ReportedLimit(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A limit as reported to another box, with ages in place of times on the own clock."""
+    """A limit as reported to another box, with ages in place of times on the local clock."""
 
     rate: float
     """Requests per second."""
@@ -149,7 +149,7 @@
 
 
 def from_reported(reported: ReportedLimit, now: float) -> RateLimit:
-    """Return a limit that another box reported, with times on the own clock."""
+    """Return a limit that another box reported, with times on the local clock."""
     withdrawn_at = -math.inf if reported.withdrawn_age is None else now - reported.withdrawn_age
     return RateLimit(
         rate=reported.rate, advertised_at=now - reported.advertised_age, withdrawn_at=withdrawn_at
--- a/src/ledgeladder/coordination/registrations.py
+++ b/src/ledgeladder/coordination/registrations.py
@@ -26,13 +26,13 @@
     """The newest registration."""
 
     first_seen_at: float
-    """When it was first seen, on the own monotonic clock."""
+    """When it was first seen, on the local monotonic clock."""
 
     started_at: float
-    """Estimated start of the instance, on the own monotonic clock."""
+    """Estimated start of the instance, on the local monotonic clock."""
 
     last_seen_at: float
-    """When any box last received a heartbeat from it, on the own monotonic clock."""
+    """When any box last received a heartbeat from it, on the local monotonic clock."""
 
 
 class NewestInstance(msgspec.Struct, frozen=True, kw_only=True):
@@ -69,7 +69,7 @@
     Args:
         table: The table.
         registration: The registration.
-        last_seen_at: When the upstream was seen, on the own monotonic clock.
+        last_seen_at: When the upstream was seen, on the local monotonic clock.
 
     Returns:
         True if anything changed and must be sent to other boxes.
@@ -189,7 +189,7 @@
     Args:
         table: The own table.
         reported: What the other box reported.
-        now: Own monotonic time.
+        now: Monotonic time.
 
     Returns:
         Registrations that changed anything.
--- a/src/ledgeladder/coordination/rests.py
+++ b/src/ledgeladder/coordination/rests.py
@@ -1,4 +1,4 @@
-"""Back-off that engines requested from a control box, which sends them no order until it ends."""
+"""Back-off that engines requested from a control box. It sends them no order until that ends."""
 
 from __future__ import annotations
 
--- a/src/ledgeladder/coordination/upstream_order.py
+++ b/src/ledgeladder/coordination/upstream_order.py
@@ -54,6 +54,7 @@
 
 
 NO_LOAD: Final = LoadFigures(0, 0.0)
+"""Load of an upstream without requests."""
 
 
 class UpstreamIndex(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
@@ -80,7 +81,7 @@
 
 
 def diff_index(index: UpstreamIndex, instances: Collection[str]) -> IndexChange | None:
-    """Return the change that brings an index up to date; None if no upstream came or went.
+    """Return the change that brings an index up to date; None if no upstream was added or removed.
 
     Args:
         index: The previous index.
