--- a/src/ledgeladder/coordination/crash_book.py
+++ b/src/ledgeladder/coordination/crash_book.py
@@ -95,8 +95,7 @@
     Args:
         table: The table.
         has_exited: Returns whether the exit of an instance is confirmed. A box behind a partition
-            that refuses connections considers every upstream beyond it
-            crashed.
+            that refuses connections considers every upstream beyond it crashed.
     """
     for fingerprint, crashes in table.suspects.items():
         if len(crashes) >= CRASH_LIMIT and sum(map(has_exited, crashes)) >= CRASH_LIMIT:
--- a/src/ledgeladder/daemons/gateway/control_link.py
+++ b/src/ledgeladder/daemons/gateway/control_link.py
@@ -80,8 +80,8 @@
     """Serve the link to one control box.
 
     Args:
-        state: The process's state.
-        address: IP number of the control box.
+        state: State of the process.
+        address: IP address of the control box.
         link: The link.
     """
     order = UpstreamIndex()
@@ -194,7 +194,7 @@
     """Apply a document if it is newer than the current one.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         push: The compressed document. If it cannot be decoded, an error is logged and the current
             document stays in use.
     """
@@ -221,7 +221,7 @@
     """Apply registrations of upstreams.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         updates: Registrations with their ages. Those that are not newer than the known ones are
             ignored; ages of unchanged registrations arrive as `RegistrationAges`.
     """
--- a/src/ledgeladder/daemons/gateway/main.py
+++ b/src/ledgeladder/daemons/gateway/main.py
@@ -44,12 +44,12 @@
 """Interval at which a planned stop checks whether requests are still in progress."""
 
 MAX_CONTROL_LINKS: Final = 3
-"""Links to control boxes. Two may be lost without an interruption, and a site with three control
-boxes has a link to each."""
+"""Maximum number of links to control boxes. Two may be lost without an interruption, and a site
+with three control boxes has a link to each."""
 
 STALE_SECONDS: Final = 2.0
 """Age of the last confirmation after which all known control boxes are tried. Linked control boxes
-are asked twice within this time."""
+are polled twice within this time."""
 
 EXPIRY_CHECK_SECONDS: Final = 2.0
 """Interval at which expired idle connections to upstreams are closed."""
--- a/src/ledgeladder/daemons/gateway/plain.py
+++ b/src/ledgeladder/daemons/gateway/plain.py
@@ -151,7 +151,7 @@
 def _next_upstream(
     state: GatewayState, permit: Permit, attempts: _Attempts
 ) -> ForwardedUpstream | None:
-    """Choose the upstream for the next attempt; return None if there is to be none."""
+    """Choose the upstream for the next attempt; return None for no further attempt."""
     is_repeatable = permit.route.kind is RequestKind.REPEATABLE
     if attempts.executions and (
         not is_repeatable or attempts.executions >= permit.route.max_attempts
--- a/src/ledgeladder/daemons/gateway/probing.py
+++ b/src/ledgeladder/daemons/gateway/probing.py
@@ -57,7 +57,7 @@
     An engine that made progress for another request within `liveness_seconds` is not probed.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         engines: The engines, for example those of a path.
         dead: Instances of engines that are known to be dead; those found are added.
         liveness_seconds: How long an engine counts as alive after its last progress.
@@ -89,7 +89,7 @@
     connection is evidence: a link that loses packets also breaks connections and loses probes.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         upstream: The upstream.
         dead: Instances of upstreams that are known to be dead; this one is added if it has exited.
 
@@ -119,7 +119,7 @@
     It receives no new work until a later heartbeat is known; other requests on it are interrupted.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         engine: The engine.
         dead: Instances of engines that are known to be dead; this one is added.
     """
@@ -192,7 +192,7 @@
     """Connect, with a second connection in parallel after a share of the timeout.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         engine: The engine.
         timeout: Timeout for both connections together, in seconds.
 
--- a/src/ledgeladder/daemons/gateway/readiness.py
+++ b/src/ledgeladder/daemons/gateway/readiness.py
@@ -17,6 +17,7 @@
     from .state import GatewayState
 
 OK = 200
+"""HTTP status of a ready box."""
 
 
 def is_ready(state: GatewayState) -> bool:
--- a/src/ledgeladder/daemons/gateway/slowdown_queries.py
+++ b/src/ledgeladder/daemons/gateway/slowdown_queries.py
@@ -36,7 +36,7 @@
     are backing off or rate-limited are not queried.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         path: The path.
     """
     now = anyio.current_time()
--- a/src/ledgeladder/daemons/gateway/stall_watch.py
+++ b/src/ledgeladder/daemons/gateway/stall_watch.py
@@ -42,8 +42,8 @@
     """Send a request and wait for the head of the answer, while checking the path's engines.
 
     Args:
-        state: The process's state.
-        permit: What the request may do.
+        state: State of the process.
+        permit: Permit of the request.
         request: The request.
         session: The caller's stream.
         path: The path.
@@ -85,7 +85,7 @@
 ) -> None:
     """Probe the engines of a path each time that the head of the answer is overdue.
 
-    Cancels the scope if one of them is unreachable, or after the stream's `first_limit`.
+    Cancels the scope if one of them is unreachable, or after the stream's `first_timeout`.
     """
     limit = session.timeouts.first_timeout
     waited = 0.0
@@ -109,7 +109,7 @@
     """Read the next part of the answer, and probe the engines if it is overdue.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         session: The caller's stream.
         path: The path.
         answer: The engine's answer.
@@ -171,7 +171,7 @@
     """Probe the engines of a stalled stream repeatedly, and abort its attempt if necessary.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         session: The caller's stream.
         path: The path.
         reasons: Receives the reason for the abort.
--- a/src/ledgeladder/daemons/gateway/state.py
+++ b/src/ledgeladder/daemons/gateway/state.py
@@ -89,7 +89,7 @@
     """Monotonic time of the first request."""
 
     remaining_controls: list[str]
-    """IP addresses of the control boxes not asked yet, in the order in which they are asked."""
+    """IP addresses of the control boxes not queried yet, in the order of the queries."""
 
     requested: int = 0
     """Number of retries requested."""
--- a/src/ledgeladder/daemons/gateway/stream.py
+++ b/src/ledgeladder/daemons/gateway/stream.py
@@ -43,8 +43,8 @@
     """Forward a stream until it completes or no further attempt is possible.
 
     Args:
-        state: The process's state.
-        permit: What the request may do.
+        state: State of the process.
+        permit: Permit of the request.
         request: The request.
         exchange: The exchange with the caller.
         trace: Collects data on the request for its log line.
--- a/src/ledgeladder/daemons/gateway/stream_attempt.py
+++ b/src/ledgeladder/daemons/gateway/stream_attempt.py
@@ -56,8 +56,8 @@
     """Send a stream's request over a path once and forward the events.
 
     Args:
-        state: The process's state.
-        permit: What the request may do.
+        state: State of the process.
+        permit: Permit of the request.
         request: The request.
         exchange: The exchange with the caller.
         session: The caller's stream.
@@ -274,7 +274,7 @@
 
     The first engine refuses by itself if it is full or draining. It names a later engine if that
     one is full or dead. A dead engine that is recorded as full would receive an attempt from each
-    box every `FULL_AVOID_SECONDS` while it is registered; a probe tells the two cases apart.
+    box every `FULL_AVOID_SECONDS` while it is registered; a probe distinguishes the two cases.
     """
     session.excluded.add(engine.registration.instance)
     _suspect_domain(state, session, engine)
--- a/src/ledgeladder/daemons/gateway/stream_events.py
+++ b/src/ledgeladder/daemons/gateway/stream_events.py
@@ -33,7 +33,7 @@
     """Forward whole events until the answer ends, skipping those that the caller already has.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         exchange: The exchange with the caller.
         session: The caller's stream.
         path: The path.
--- a/src/ledgeladder/daemons/gateway/stream_paths.py
+++ b/src/ledgeladder/daemons/gateway/stream_paths.py
@@ -47,8 +47,8 @@
     one leaves out failed engines again and admits engines above their usual load limit.
 
     Args:
-        state: The process's state.
-        permit: What the request may do.
+        state: State of the process.
+        permit: Permit of the request.
         profile: Performance data of the pool's engines.
         session: The caller's stream.
         expected: Expected number of answer tokens.
--- a/src/ledgeladder/daemons/gateway/stream_session.py
+++ b/src/ledgeladder/daemons/gateway/stream_session.py
@@ -85,7 +85,7 @@
     """Body of `failure`."""
 
     pace: Pace = msgspec.field(default_factory=Pace)
-    """Gaps between events, in seconds; its floor is the first gap timeout of `timeouts`."""
+    """Gaps between events, in seconds; its floor is `gap_probe` of `timeouts`."""
 
     last_progress_at: float = 0.0
     """When the newest event was forwarded, or else when the request arrived, on the monotonic
--- a/src/ledgeladder/daemons/gateway/upstream_call.py
+++ b/src/ledgeladder/daemons/gateway/upstream_call.py
@@ -91,8 +91,8 @@
     """Send a request to an upstream and wait for the head of its answer.
 
     Args:
-        state: The process's state.
-        permit: What the request may do.
+        state: State of the process.
+        permit: Permit of the request.
         request: The request.
         dispatch: Values of the headers that are added to the request.
         upstream: The upstream to call.
--- a/src/ledgeladder/daemons/gateway/waiting.py
+++ b/src/ledgeladder/daemons/gateway/waiting.py
@@ -155,7 +155,7 @@
         until: Monotonic time until which it may wait.
 
     Returns:
-        True if the request is admitted and an upstream may be chosen; False if it is to be refused.
+        True if the request is admitted and an upstream may be chosen; False if it must be refused.
     """
     now, admission = anyio.current_time(), state.upstream_queue
     if now + seconds + len(admission.queue.waiting) * admission.admission_pace.mean > until:
--- a/src/ledgeladder/daemons/registry/http_api.py
+++ b/src/ledgeladder/daemons/registry/http_api.py
@@ -49,7 +49,7 @@
     """Build the HTTP site of a registry process.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         counters: Number of calls by outcome.
     """
 
--- a/src/ledgeladder/daemons/registry/load_totals.py
+++ b/src/ledgeladder/daemons/registry/load_totals.py
@@ -32,7 +32,7 @@
     """Sum the recent load reports of the entry boxes of all control boxes.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         now: Monotonic time.
 
     Returns:
--- a/src/ledgeladder/daemons/registry/peer_links.py
+++ b/src/ledgeladder/daemons/registry/peer_links.py
@@ -90,7 +90,7 @@
     """Serve a link that this box opened to another control box.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         address: IP address of the other box.
         link: The link.
     """
@@ -128,7 +128,7 @@
     """Serve a link that another process opened.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         link: The link.
     """
     is_control = link.peer is not None and link.peer.role is PeerRole.CONTROL
--- a/src/ledgeladder/daemons/registry/placement.py
+++ b/src/ledgeladder/daemons/registry/placement.py
@@ -135,7 +135,7 @@
     domain serves only once all of them are loaded.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         pool: The pool.
         engines: Its engines.
         orders: Planned orders, the most urgent first.
--- a/src/ledgeladder/daemons/registry/published_version.py
+++ b/src/ledgeladder/daemons/registry/published_version.py
@@ -143,7 +143,7 @@
     """Wait until the newest version is known as of a moment after `since`.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         since: Monotonic time of this box at which the read arrived.
         seconds: Longest time to wait.
 
@@ -166,7 +166,7 @@
     """Commit a document through the leader, on whichever box it runs.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         version: Version of the document.
         body: The document as it was sent.
 
--- a/src/ledgeladder/daemons/registry/telling.py
+++ b/src/ledgeladder/daemons/registry/telling.py
@@ -81,7 +81,7 @@
     """Send a registration to other boxes: immediately, or batched after a recent update.
 
     Args:
-        state: The process's state.
+        state: State of the process.
         registration: The new registration.
         to_peers: True if it was received by this box and must be sent to the other control boxes.
     """
