--- a/src/ledgeladder/coordination/freshness.py
+++ b/src/ledgeladder/coordination/freshness.py
@@ -76,7 +76,7 @@
 
 
 def is_fresh(freshness: Freshness, own_version: int, now: float, max_age: float) -> bool:
-    """Return whether the own configuration was the newest within the last `max_age` seconds.
+    """Return whether the local configuration was the newest within the last `max_age` seconds.
 
     Args:
         freshness: State of the box.
--- a/src/ledgeladder/coordination/link_choice.py
+++ b/src/ledgeladder/coordination/link_choice.py
@@ -19,9 +19,9 @@
 ) -> list[str]:
     """Rank control boxes by the preference of an entry box.
 
-    Those of the own failure domain come first, since they stay reachable in a partition and their
+    Those of the local failure domain come first, since they stay reachable in a partition and their
     messages cross no domain boundary. One of the first `limit` is of another domain, so there is no
-    gap when all control boxes of the own domain are lost. Among equals, entry boxes prefer
+    gap when all control boxes of the local domain are lost. Among equals, entry boxes prefer
     different ones (rendezvous hashing).
 
     Args:
--- a/src/ledgeladder/coordination/membership/core.py
+++ b/src/ledgeladder/coordination/membership/core.py
@@ -67,7 +67,7 @@
 
 
 def leave(membership: Membership) -> list[Datagram]:
-    """Announce to the boxes of the own failure domain that this box leaves."""
+    """Announce to the boxes of the local failure domain that this box leaves."""
     membership.left = True
     gossip = Gossip(members=(own_update(membership),))
     digest = Digest(sender=membership.name, gossip=gossip)
@@ -314,7 +314,7 @@
 
 
 def watchers(membership: Membership, upstream: str, count: int) -> list[str]:
-    """Choose the boxes of the own failure domain that watch an upstream.
+    """Choose the boxes of the local failure domain that watch an upstream.
 
     Rendezvous hashing gives all boxes the same result; the loss of a box only moves its upstreams.
 
--- a/src/ledgeladder/coordination/membership/state.py
+++ b/src/ledgeladder/coordination/membership/state.py
@@ -119,7 +119,7 @@
 
 
 def alive(membership: Membership, failure_domain: str | None = None) -> list[MemberUpdate]:
-    """Return the boxes that are alive or suspected, including the own one unless it has left.
+    """Return the boxes that are alive or suspected, including this one unless it has left.
 
     Args:
         membership: Membership state of the box.
--- a/src/ledgeladder/coordination/raft/replica.py
+++ b/src/ledgeladder/coordination/raft/replica.py
@@ -83,7 +83,7 @@
     """Index of the last committed entry that was returned to the driver."""
 
     synced_index: int = 0
-    """Index of the last entry that is synced to the own disk."""
+    """Index of the last entry that is synced to the local disk."""
 
     votes: dict[str, bool] = msgspec.field(default_factory=dict)
     """Votes received in the current election."""
--- a/src/ledgeladder/coordination/registrations.py
+++ b/src/ledgeladder/coordination/registrations.py
@@ -187,7 +187,7 @@
     """Merge what another box knows.
 
     Args:
-        table: The own table.
+        table: The local table.
         reported: What the other box reported.
         now: Monotonic time.
 
--- a/src/ledgeladder/routing/paths.py
+++ b/src/ledgeladder/routing/paths.py
@@ -35,8 +35,8 @@
 Smaller than the speed difference between kinds of cards: an idle fast card is still preferred."""
 
 REMOTE_CONGESTION_RATIO: Final = 1.25
-"""How many times more congested the own failure domain must be than another one before the other is
-preferred. A network partition would break a path to another failure domain."""
+"""How many times more congested the local failure domain must be than another one before the other
+is preferred. A network partition would break a path to another failure domain."""
 
 
 NO_CAPACITY: Final = "full"
--- a/src/ledgeladder/routing/service_choice.py
+++ b/src/ledgeladder/routing/service_choice.py
@@ -1,6 +1,6 @@
 """Selection of a plain service for a request.
 
-The least loaded one is selected, with a preference for the own failure domain.
+The least loaded one is selected, with a preference for the local failure domain.
 """
 
 from __future__ import annotations
